--- a/crates/kitetrail-core/src/jobs/crashes.rs
+++ b/crates/kitetrail-core/src/jobs/crashes.rs
@@ -1,50 +1,56 @@
-//! Workers that crashed under a task, and what they weigh against it.
+//! Crashes of the workers that ran a task, and the evidence that the task caused them.
 
 use serde::{Deserialize, Serialize};
 
 use super::names::{Incarnation, LifeId, LifeKey};
 
-/// What a crash weighs against a task whose worker fell silent right after it had started there.
-const FELL_AT_ONCE: u32 = 20;
-/// What it weighs against a task whose worker fell later, or with others.
-const FELL: u32 = 15;
-/// What it weighs against a task whose start was not confirmed. Its worker may have fallen before.
-const UNCONFIRMED: u32 = 12;
-/// A task of this weight is given up: after three crashes at once, four others, five that are not confirmed. The platform bears
-/// five, two after the third.
-const GIVEN_UP_AT: u32 = 60;
-/// The same where an owner was lost that may have known of others: one, or two if it had started a copy.
-const GIVEN_UP_AT_AFTER_LOSS: u32 = 45;
-/// After so many crashes in a row, one of them at once, it starts without its checkpoint, which may be what crashes the worker: it
-/// has one or two tries left.
-const WITHOUT_CHECKPOINT_AFTER: usize = 2;
-/// After so many it runs alone, also if it had run for a while each time.
-const ALONE_AFTER: usize = 2;
-/// Two runs that lasted this much longer or shorter than each other, in milliseconds, were not lost by the same task's doing.
-/// Moments of starts and crashes are known to some 100 ms, and later from an owner that lags.
-const SIMILAR_MS: u64 = 300;
-/// A task that has run for so much longer than its last run that was lost is no suspect any more, in milliseconds.
+/// The weight of a crash right after the task had started on the worker.
+const IMMEDIATE_CRASH_WEIGHT: u32 = 20;
+/// The weight of a crash that came later, or together with crashes of other workers.
+const CRASH_WEIGHT: u32 = 15;
+/// The weight of a crash if the start of the task was not confirmed. The worker may have crashed
+/// before the start.
+const UNCONFIRMED_START_WEIGHT: u32 = 12;
+/// The total weight at which the task counts as the cause and is not started again: three immediate
+/// crashes, four others, or five after unconfirmed starts. The platform tolerates five crashes, two
+/// of them after the third.
+const MAX_WEIGHT: u32 = 60;
+/// The same limit after the loss of an owner that may have known of one more crash, or of two if it
+/// had started a copy.
+const MAX_WEIGHT_AFTER_OWNER_LOSS: u32 = 45;
+/// The number of crashes in a row, one of them immediate, after which the task starts without its
+/// checkpoint, since the checkpoint may be the cause. One or two attempts are left then.
+const CRASHES_TO_DROP_CHECKPOINT: usize = 2;
+/// The number of crashes in a row after which the task runs alone, even if it had run for a while
+/// each time.
+const CRASHES_TO_RUN_ALONE: usize = 2;
+/// The largest difference between the run times of two crashes that the same task may have caused,
+/// in milliseconds. The times of starts and crashes are known to about 100 ms, and less precisely
+/// if the owner lags.
+const MAX_RUN_TIME_DIFFERENCE_MS: u64 = 300;
+/// How much longer than its last lost run a task must run until it is no longer a suspect, in
+/// milliseconds.
 const CLEARED_AFTER_MS: u64 = 1_000;
-/// For how long a run is taken to have run at most, in milliseconds, if its start was kept and nothing else is known of it.
-const UNKNOWN_RAN_MS: u64 = 500;
+/// The assumed upper bound of a run time, in milliseconds, if only the start of the run is stored.
+const UNKNOWN_RUN_TIME_MS: u64 = 500;
 
-/// How strongly a crash speaks against a task that ran on the worker.
+/// How strongly a crash suggests that a task on the worker caused it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashEvidence {
-    /// Its worker fell silent right after it had started there.
+    /// The worker fell silent right after the task had started on it.
     FellAtOnce,
-    /// The same, and other workers fell at that moment.
+    /// The same, but other workers crashed at that moment too.
     OthersFell,
-    /// It is not known to have run there for long.
+    /// The task is not known to have run there for long.
     JustStarted,
-    /// It is not known to have begun: its worker may have fallen before.
+    /// The start of the task was not confirmed: the worker may have crashed before it.
     Unconfirmed,
-    /// It had run there for a while, and nothing had just been started.
+    /// The task had run there for a while, and no other task had just been started.
     RanThere,
 }
 
 impl CrashEvidence {
-    /// The word for it in log lines and on the metrics page.
+    /// Returns the value in log lines and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::FellAtOnce => "fell-at-once",
@@ -56,124 +62,131 @@
     }
 }
 
-/// For how long a run had run when its worker fell: what is known for sure, and what is possible.
+/// The bounds of the time that a run had run for when its worker crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RanFor {
-    /// At least, in milliseconds.
+    /// The lower bound, in milliseconds.
     pub least_ms: u64,
-    /// At most, in milliseconds.
+    /// The upper bound, in milliseconds.
     pub most_ms: u64,
 }
 
 impl RanFor {
-    /// Of a run whose start was kept, and of which nothing else is known.
-    pub const UNKNOWN: Self = Self { least_ms: 0, most_ms: UNKNOWN_RAN_MS };
+    /// The bounds for a run of which only the stored start is known.
+    pub const UNKNOWN: Self = Self { least_ms: 0, most_ms: UNKNOWN_RUN_TIME_MS };
 
-    /// Whether both may have run equally long.
+    /// Returns whether both runs may have run equally long, within [`MAX_RUN_TIME_DIFFERENCE_MS`].
     fn is_similar(self, other: Self) -> bool {
-        self.least_ms <= other.most_ms + SIMILAR_MS && other.least_ms <= self.most_ms + SIMILAR_MS
+        self.least_ms <= other.most_ms + MAX_RUN_TIME_DIFFERENCE_MS
+            && other.least_ms <= self.most_ms + MAX_RUN_TIME_DIFFERENCE_MS
     }
 }
 
-/// A run whose start was kept before it was ordered.
+/// A run whose start was stored before it was ordered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BegunRun {
-    /// Its number.
+    /// The number of the run.
     pub run: u32,
     /// The worker that was to run it.
     pub worker: LifeId,
-    /// Which of the worker's starts.
+    /// The incarnation of the worker, if the platform reports it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<Incarnation>,
 }
 
 impl BegunRun {
-    /// A run that is about to be started in a life.
+    /// Creates the entry of a run that is about to be started on a worker instance.
     pub fn new(run: u32, LifeKey { id, incarnation }: LifeKey) -> Self {
         Self { run, worker: id, incarnation }
     }
 
-    /// The life that was to run it.
+    /// Returns the worker instance that was to run it.
     pub fn life(&self) -> LifeKey {
         LifeKey { id: self.worker.clone(), incarnation: self.incarnation }
     }
 }
 
-/// Workers that crashed under a task, one run after the other, each time after it had run equally long.
+/// The crashes of the workers that ran a task, in consecutive runs of about the same length.
 ///
-/// A task that crashes its workers does so at the same point of its work; one that was in the way of crashes is hit at any.
-/// Kept with the job, so that the count outlasts its owner.
+/// A task that crashes its workers does so at the same point of its work, whereas crashes with
+/// other causes hit a task at any point. The crashes are stored with the job, so that a new owner
+/// continues the count.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskCrashes {
-    /// The workers that crashed, in order. One that started again under its id and crashed again stands here twice.
+    /// The workers that crashed, in order. A worker that restarted under its id and crashed again
+    /// is listed twice.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub workers: Vec<LifeId>,
-    /// What these crashes weigh together.
+    /// The total weight of these crashes.
     #[serde(default)]
     pub weight: u32,
-    /// In one of them its worker fell at once, and no other.
+    /// Whether one of the workers crashed right after the start, and no other worker at that
+    /// moment.
     #[serde(default)]
     pub fell_at_once: bool,
-    /// An owner was lost that may have known of others.
+    /// Whether an owner was lost that may have known of further crashes.
     #[serde(default)]
     pub may_miss_some: bool,
-    /// For how long the last of these runs had run.
+    /// The run time of the last of these runs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ran: Option<RanFor>,
-    /// The run that may crash its worker next. An owner that finds it begun, and its worker crashed, counts it.
+    /// The run that may crash its worker next. A new owner that finds this entry and the worker
+    /// crashed counts the crash.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub begun: Option<BegunRun>,
 }
 
 impl TaskCrashes {
-    /// Whether nothing is known against the task, and none of its starts was kept.
+    /// Returns whether there are neither crashes nor a stored start.
     pub fn is_empty(&self) -> bool {
         self.workers.is_empty() && self.begun.is_none()
     }
 
-    /// Whether the task is to run alone.
+    /// Returns whether the task must run alone on its worker.
     pub fn runs_alone(&self) -> bool {
-        self.fell_at_once || self.workers.len() >= ALONE_AFTER
+        self.fell_at_once || self.workers.len() >= CRASHES_TO_RUN_ALONE
     }
 
-    /// Whether it starts without its checkpoint.
+    /// Returns whether the task starts without its checkpoint.
     pub fn drops_checkpoint(&self) -> bool {
-        self.fell_at_once && self.workers.len() >= WITHOUT_CHECKPOINT_AFTER
+        self.fell_at_once && self.workers.len() >= CRASHES_TO_DROP_CHECKPOINT
     }
 
-    /// Whether the task is not to be started again.
+    /// Returns whether the task counts as the cause of the crashes, so that it is not started
+    /// again.
     pub fn is_given_up(&self) -> bool {
-        let most = if self.may_miss_some { GIVEN_UP_AT_AFTER_LOSS } else { GIVEN_UP_AT };
-        self.weight >= most
+        let max_weight = if self.may_miss_some { MAX_WEIGHT_AFTER_OWNER_LOSS } else { MAX_WEIGHT };
+        self.weight >= max_weight
     }
 
-    /// Whether a run that is known to have run for so long shows that the task does not crash its workers.
+    /// Returns whether a run of this length shows that the task does not crash its workers.
     pub fn is_cleared_by(&self, ran_ms: u64) -> bool {
-        let lost_after_ms = self.ran.map_or(0, |ran| ran.most_ms);
-        !self.workers.is_empty() && ran_ms >= lost_after_ms + CLEARED_AFTER_MS
+        let last_run_ms = self.ran.map_or(0, |ran| ran.most_ms);
+        !self.workers.is_empty() && ran_ms >= last_run_ms + CLEARED_AFTER_MS
     }
 
-    /// Counts a crash.
+    /// Counts a crash. If the run time differs from that of the crashes before, the count starts
+    /// anew.
     pub fn note(&mut self, life: &LifeKey, evidence: CrashEvidence, ran: Option<RanFor>) {
         let differs = |(last, ran): (RanFor, RanFor)| !last.is_similar(ran);
         if self.ran.zip(ran).is_some_and(differs) {
             self.clear();
         }
-        // Another run of it may be on its way since.
+        // A stored start may belong to a later run on another worker: that entry stays.
         self.begun.take_if(|begun| begun.life() == *life);
         self.workers.push(life.id.clone());
         self.ran = ran.or(self.ran).or(Some(RanFor::UNKNOWN));
         self.fell_at_once |= evidence == CrashEvidence::FellAtOnce;
         self.weight += match evidence {
-            CrashEvidence::FellAtOnce => FELL_AT_ONCE,
+            CrashEvidence::FellAtOnce => IMMEDIATE_CRASH_WEIGHT,
             CrashEvidence::OthersFell | CrashEvidence::JustStarted | CrashEvidence::RanThere => {
-                FELL
+                CRASH_WEIGHT
             }
-            CrashEvidence::Unconfirmed => UNCONFIRMED,
+            CrashEvidence::Unconfirmed => UNCONFIRMED_START_WEIGHT,
         };
     }
 
-    /// Forgets all crashes.
+    /// Removes all crashes. A stored start stays.
     pub fn clear(&mut self) {
         let begun = self.begun.take();
         *self = Self { begun, ..Self::default() };
--- a/crates/kitetrail-core/src/jobs/event.rs
+++ b/crates/kitetrail-core/src/jobs/event.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is told, and what it wants done.
+//! The scheduler's input ([`Event`]) and output ([`Action`]).
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -16,175 +16,178 @@
 };
 use crate::Time;
 
-/// Names a caller's request until it is answered.
+/// The number of a caller's request, valid until the request is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNo(pub u64);
 
-/// Something that happened.
+/// An input of the scheduler.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// A caller hands a job in.
+    /// A caller submits a job.
     Submit {
-        /// Who waits for the answer.
+        /// The request to answer.
         request: RequestNo,
         /// The id that the caller chose.
         job: JobId,
-        /// The queue that was addressed.
+        /// The queue that the job was submitted to.
         queue: QueueTerms,
-        /// What is asked for.
+        /// The job's specification.
         spec: Box<JobSpec>,
     },
     /// A caller cancels a job.
     Cancel {
-        /// Who waits for the answer.
+        /// The request to answer.
         request: RequestNo,
         /// The job.
         job: JobId,
     },
-    /// The operators' queues, all of them, as now in force.
+    /// The configured queues changed. Contains all queues now in force.
     Queues(Vec<QueueTerms>),
-    /// The availability zones that are being evacuated, all of them, as now in force.
+    /// The set of availability zones under evacuation changed. Contains all of them.
     Evacuated(BTreeSet<String>),
     /// The list of workers changed.
     Discovered(Vec<Discovery>),
-    /// No owner before this one renewed leases after a moment, which was not known as this one took over.
+    /// It became known that no earlier owner renewed leases after a moment. This was unknown at the
+    /// takeover.
     EarlierOwnersStopped {
-        /// The moment.
+        /// The latest time at which an earlier owner may have renewed leases.
         at: Time,
     },
-    /// The store did not answer, or turned us away, until this moment.
+    /// The store did not answer, or refused requests, until this moment.
     StoreTrouble {
-        /// When it answered again; the present while it does not.
+        /// The time at which the store answered again; the current time while it does not answer.
         until: Time,
     },
-    /// An order was answered, or certainly won't be.
+    /// An order was answered, or counts as unanswered.
     OrderAnswered {
-        /// The worker.
+        /// The worker instance.
         life: LifeNo,
-        /// What was ordered.
+        /// The order.
         order: Order,
-        /// What came back.
+        /// The answer.
         answer: OrderAnswer,
     },
-    /// A hold was answered, or certainly won't be.
+    /// A hold was answered, or counts as unanswered.
     Held {
-        /// The worker.
+        /// The worker instance.
         life: LifeNo,
-        /// What was sent.
+        /// The hold.
         hold: Hold,
-        /// When it was sent.
+        /// The time at which it was sent.
         sent_at: Time,
-        /// What came back.
+        /// The worker's report, or why there is none.
         answer: Result<Report, HoldFailure>,
     },
-    /// A hold that was taken for unanswered brought an answer after all. What it says has ended has
-    /// ended for good; the rest is out of date.
+    /// A hold that counted as unanswered was answered late. The ended runs in it are final; the
+    /// rest of the report is out of date.
     LateEnds {
-        /// The worker.
+        /// The worker instance that the hold was sent to.
         life: LifeNo,
-        /// Which of the worker's starts tells it, if the platform tells.
+        /// The incarnation that answered, if the platform reports it.
         incarnation: Option<Incarnation>,
-        /// The runs that ended, in the order of their numbers.
+        /// The ended runs, in the order of their numbers.
         ended: Vec<RunEnd>,
     },
-    /// The batch of records with this number is kept for good.
+    /// The batch of records with this number is durable.
     Committed(u64),
-    /// The owner looked at the clock so much later than it was due: all that it reads and sends waits as long.
+    /// The owner's event loop ran this much later than scheduled: everything it reads and sends is
+    /// delayed as long.
     Lagged(Duration),
-    /// Time passed.
+    /// The periodic timer fired.
     Tick,
 }
 
 /// A change in the list of workers.
 #[derive(Debug, Clone)]
 pub enum Discovery {
-    /// A worker stands in the list, as given.
+    /// A worker is listed with this entry.
     Listed(Box<WorkerEntry>),
-    /// A worker no longer stands in the list.
+    /// A worker is no longer listed.
     Gone {
         /// The worker.
         id: LifeId,
-        /// How long its entry had shown no heartbeat, if that is known.
+        /// The time since the last heartbeat in the removed entry, if known.
         silent_for: Option<Duration>,
     },
-    /// The entry of a worker can't be what a worker writes: it names none to use until it is put right.
+    /// The entry of a worker is invalid: the worker can't be used until the entry is corrected.
     Unusable(LifeId),
-    /// The list was read as a whole, and all workers that stand there were told of.
+    /// The list was read completely, and all listed workers have been passed on.
     Whole,
 }
 
-/// The answer to a caller who hands a job in.
+/// The answer to a caller who submits a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmitAnswer {
-    /// The job is kept.
+    /// The job is stored.
     Accepted,
-    /// The job is not kept and never will be: the store does not answer.
+    /// The job is not stored and never will be: the store does not answer.
     Refused,
 }
 
 /// The answer to a caller who cancels a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelAnswer {
-    /// It is cancelled, or had ended.
+    /// The job is cancelled, or had ended before.
     Done,
-    /// There is no such job.
+    /// No job has this id.
     Unknown(JobId),
 }
 
-/// What a caller is told of a job.
+/// The state of a job as shown to callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum JobState {
-    /// No task has begun.
+    /// No task has started.
     Queued,
-    /// Some task has begun.
+    /// At least one task has started.
     Running,
-    /// All tasks are done, for good.
+    /// All tasks are done, and this is stored.
     Completed,
-    /// A task failed too often.
+    /// A task reached the limit of failed runs.
     Failed,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
-/// Something to do.
+/// An output of the scheduler, to be carried out by its owner.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send an order. The next one to the same worker comes after its answer.
+    /// Sends an order to a worker. The scheduler sends the next order to the same worker after the
+    /// answer to this one.
     Order {
-        /// The worker.
+        /// The worker instance.
         life: LifeNo,
-        /// Where it answers.
+        /// The worker's entry, with its address.
         entry: Arc<WorkerEntry>,
         /// The fencing token.
         token: u64,
-        /// Until when the run is leased, on the worker's clock.
+        /// The end of the run's lease, on the worker's clock in milliseconds.
         lease_until_ms: u64,
-        /// What to do.
+        /// The order.
         order: Order,
     },
-    /// Ask a worker what it runs.
+    /// Asks a worker what it runs, and renews its leases.
     Hold {
-        /// The worker.
+        /// The worker instance.
         life: LifeNo,
-        /// Where it answers.
+        /// The worker's entry, with its address.
         entry: Arc<WorkerEntry>,
-        /// What to say.
+        /// The hold.
         hold: Hold,
     },
-    /// Keep records for good, all or none. The next batch comes after this one is kept.
+    /// Stores records in one transaction. The next batch follows after this one is durable.
     Commit {
-        /// The batch's number.
+        /// The number of the batch.
         batch: u64,
-        /// What to keep.
+        /// The records to store.
         records: Vec<Record>,
     },
-    /// Answer a caller who handed a job in.
+    /// Answers a caller who submitted a job.
     AnswerSubmit(RequestNo, SubmitAnswer),
-    /// Answer a caller who cancelled a job.
+    /// Answers a caller who cancelled a job.
     AnswerCancel(RequestNo, CancelAnswer),
-    /// Write a line about a decision.
+    /// Logs a decision.
     Note(Note),
-    /// A worker has seen a higher fencing token: somebody else owns this fleet now.
+    /// A worker has seen a higher fencing token: another owner has taken over the fleet.
     Deposed,
 }
--- a/crates/kitetrail-core/src/jobs/mod.rs
+++ b/crates/kitetrail-core/src/jobs/mod.rs
@@ -1,7 +1,10 @@
-//! Jobs: steps of tasks that run on workers which lease what they run.
+//! Jobs: steps of tasks that run under leases on workers.
 //!
-//! One [`Scheduler`] decides for a fleet. It is told what happened as [`Event`]s and answers with
-//! [`Action`]s; it does no input or output and reads no clock.
+//! One [`Scheduler`] makes all decisions for a fleet. It takes [`Event`]s and returns [`Action`]s;
+//! it does no input or output and reads no clock.
+//!
+//! A worker may start again under its id or under another one. Each start is an instance of the
+//! worker of its own: an instance that is over runs nothing any more.
 
 mod crashes;
 mod event;
