--- a/crates/kitetrail-core/src/jobs/job.rs
+++ b/crates/kitetrail-core/src/jobs/job.rs
@@ -1,4 +1,4 @@
-//! One accepted job: what was asked for, and how far it is.
+//! An accepted job: its specification and its progress.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,9 +17,10 @@
 };
 use crate::Time;
 
-/// The most tasks of a job whose crashes are kept: 150 bytes each, so that the row stays under the 64 KiB that the store takes. Of
-/// 2,000 tasks that were lost at once it had 200 KB, and the store's refusal costs an owner the fleet.
-const MOST_KEPT_CRASHES: usize = 128;
+/// The maximum number of tasks of a job whose crashes are stored, at 150 bytes each. It keeps the
+/// row below the store's limit of 64 KiB: when 2,000 tasks were lost at once, the row had 200 KB,
+/// and an owner whose write the store refuses loses the fleet.
+const MAX_TASKS_WITH_STORED_CRASHES: usize = 128;
 
 /// An accepted job.
 #[derive(Debug)]
@@ -32,23 +33,23 @@
     pub(super) images: Vec<ImageNo>,
     pub(super) accepted_unix_ms: u64,
     pub(super) accepted_at: Time,
-    /// What is decided, and not kept for good yet unless it is open.
+    /// The outcome as decided. If the job has ended, the outcome is not durable yet.
     pub(super) outcome: Outcome,
     pub(super) ended_unix_ms: Option<u64>,
-    /// It is kept for good.
+    /// Whether the job is durable.
     pub(super) kept: bool,
     pub(super) begun: bool,
-    /// Some of its tasks may wait for a worker. Most jobs have none for most of their time, so they are
-    /// not looked at when workers are sought.
+    /// Whether some of its tasks may wait for a worker. Most jobs have none most of the time, and
+    /// placement skips these jobs.
     pub(super) may_wait: bool,
-    /// The times of its schedule before this one are done and forgotten.
+    /// The first occurrence that is not done. The occurrences before it are removed.
     done_before: u32,
     pub(super) occurrences: BTreeMap<u32, Occurrence>,
-    /// When the job should have ended, for the order of the queue.
+    /// The time by which the job should have ended, for the order within the queue.
     pub(super) due_at: Time,
     pub(super) submit_waiters: Vec<RequestNo>,
     pub(super) cancel_waiters: Vec<RequestNo>,
-    /// An earlier owner may have started some of its tasks.
+    /// Whether an earlier owner may have started some of its tasks.
     pub(super) inherited: bool,
 }
 
@@ -87,7 +88,7 @@
         job
     }
 
-    /// A job as the store keeps it. Its next runs get numbers above `run_floor`.
+    /// Restores a job from its rows in the store. Its next runs get numbers above `run_floor`.
     pub(super) fn restore(
         record: JobRecord,
         progress: Option<ProgressRecord>,
@@ -114,34 +115,35 @@
         job
     }
 
-    /// The time that its queue promises, in milliseconds from its acceptance.
+    /// Returns the time that the queue promises, in milliseconds from acceptance.
     pub(super) fn objective_ms(&self) -> u64 {
-        let chain_ms = self.spec.longest_chain_ms() as f64;
-        (self.queue.stretch * chain_ms) as u64 + self.queue.target_latency_ms
+        let path_ms = self.spec.critical_path_ms() as f64;
+        (self.queue.stretch * path_ms) as u64 + self.queue.target_latency_ms
     }
 
-    /// What callers are told until its end is kept for good.
+    /// Returns the state shown to callers until the end of the job is durable.
     pub(super) fn state(&self) -> JobState {
         if self.begun { JobState::Running } else { JobState::Queued }
     }
 
-    /// The estimated time of the longest chain of steps that are not done, in milliseconds.
+    /// Returns the estimated critical path of the steps that are not done, in milliseconds.
     ///
-    /// Of a schedule the whole chain counts: its times overlap.
-    pub(super) fn chain_left_ms(&self) -> u64 {
+    /// For a job with a schedule the whole critical path counts, since its occurrences overlap.
+    pub(super) fn remaining_critical_path_ms(&self) -> u64 {
         let occurrence = self.occurrences.values().next().filter(|_| self.spec.schedule.is_none());
-        let is_done = |step: usize| occurrence.is_some_and(|there| there.steps[step].is_done());
+        let is_done = |step: usize| occurrence.is_some_and(|current| current.steps[step].is_done());
         let left_ms = |number, step: &StepSpec| if is_done(number) { 0 } else { step.estimate_ms };
-        self.spec.longest_chain_by(left_ms)
+        self.spec.critical_path_by(left_ms)
     }
 
-    /// Whether it ends in time if what is left of it begins now, by what its caller estimated.
+    /// Returns whether the job ends in time by its caller's estimates if the remaining steps start
+    /// now.
     pub(super) fn can_be_in_time(&self, now: Time) -> bool {
-        let untimed = self.lasts() || self.spec.schedule.is_some();
-        untimed || now + Duration::from_millis(self.chain_left_ms()) <= self.due_at
+        let no_deadline = self.lasts() || self.spec.schedule.is_some();
+        no_deadline || now + Duration::from_millis(self.remaining_critical_path_ms()) <= self.due_at
     }
 
-    /// Whether some of its tasks run until the job is cancelled.
+    /// Returns whether some of its tasks run until the job is cancelled.
     pub(super) fn lasts(&self) -> bool {
         self.spec.steps.iter().any(|step| step.lasts)
     }
@@ -166,48 +168,51 @@
         self.step_mut(name.step_name())?.tasks.get_mut(name.index as usize)
     }
 
-    /// What was asked for of a step.
+    /// Returns the specification of a step.
     pub(super) fn step_spec(&self, step: u32) -> Option<&StepSpec> {
         self.spec.steps.get(step as usize)
     }
 
-    /// The steps whose turn has come and that have tasks waiting.
+    /// Returns the steps whose dependencies are done and that have tasks waiting for a worker.
     pub(super) fn due_steps(&mut self, now: Time) -> Vec<StepName> {
         let mut due = Vec::new();
         self.may_wait = false;
         for (&number, occurrence) in &self.occurrences {
-            for (at, spec) in (0_u32..).zip(&self.spec.steps) {
-                let step = &occurrence.steps[at as usize];
-                if step.is_done() || !occurrence.is_due(spec) || !step.has_unplaced() {
+            for (index, spec) in (0_u32..).zip(&self.spec.steps) {
+                let step = &occurrence.steps[index as usize];
+                if step.is_done() || !occurrence.is_due(spec) || !step.has_unplaced_tasks() {
                     continue;
                 }
-                // Those that failed a moment ago wait a little longer.
+                // A task that has just failed waits for its retry delay, so the step may not be due
+                // yet.
                 self.may_wait = true;
                 if step.tasks.iter().any(|task| task.waits(now)) {
-                    due.push(StepName { job: self.id, occurrence: number, step: at });
+                    due.push(StepName { job: self.id, occurrence: number, step: index });
                 }
             }
         }
         due
     }
 
-    /// Whether a step whose turn has come has a task that is neither done nor placed.
+    /// Returns whether a step whose dependencies are done has a task that is neither done nor
+    /// placed.
     pub(super) fn has_due_unplaced(&self) -> bool {
-        let due = |occurrence: &Occurrence, at: usize, spec: &StepSpec| {
-            occurrence.is_due(spec) && occurrence.steps[at].has_unplaced()
+        let due = |occurrence: &Occurrence, index: usize, spec: &StepSpec| {
+            occurrence.is_due(spec) && occurrence.steps[index].has_unplaced_tasks()
         };
         self.occurrences.values().any(|occurrence| {
-            self.spec.steps.iter().enumerate().any(|(at, spec)| due(occurrence, at, spec))
+            self.spec.steps.iter().enumerate().any(|(index, spec)| due(occurrence, index, spec))
         })
     }
 
-    /// The numbers of all failed runs of a gang's members, each counted once.
+    /// Returns the number of distinct failed runs over all members of a gang.
     pub(super) fn failed_runs_of_gang(&self, name: StepName) -> u32 {
         let tasks = self.step(name).into_iter().flat_map(|step| &step.tasks);
         tasks.flat_map(|task| &task.failed_runs).collect::<BTreeSet<_>>().len() as u32
     }
 
-    /// Makes a task start without its checkpoint: a gang as a whole, as its members bring the same one.
+    /// Makes a task start without its checkpoint. For a gang this applies to all members, which
+    /// share one checkpoint.
     pub(super) fn drop_checkpoint(&mut self, name: TaskName) {
         let gang = self.step_spec(name.step).is_some_and(|spec| spec.gang);
         let Some(step) = self.step_mut(name.step_name()) else { return };
@@ -218,11 +223,12 @@
         }
     }
 
-    /// The tasks that an earlier owner was about to start, as it kept, and on which worker.
+    /// Returns the tasks that an earlier owner was about to start, with the run and worker that it
+    /// stored.
     pub(super) fn begun_tasks(&self) -> Vec<(TaskName, BegunRun)> {
         let mut begun = Vec::new();
-        for (&occurrence, there) in &self.occurrences {
-            for (step, tasks) in (0_u32..).zip(&there.steps) {
+        for (&occurrence, state) in &self.occurrences {
+            for (step, tasks) in (0_u32..).zip(&state.steps) {
                 for (index, task) in (0_u32..).zip(&tasks.tasks).filter(|(_, task)| !task.done) {
                     let name = TaskName { job: self.id, occurrence, step, index };
                     begun.extend(task.crashes.begun.clone().map(|run| (name, run)));
@@ -239,7 +245,8 @@
         }
     }
 
-    /// When the next time of the schedule that is not begun falls due, since 1970.
+    /// Returns the next occurrence to begin and the time at which it is due, in milliseconds since
+    /// 1970.
     pub(super) fn next_due_unix_ms(&self) -> Option<(u32, u64)> {
         let schedule = self.spec.schedule?;
         let next = self.occurrences.keys().next_back().map_or(self.done_before, |last| last + 1);
@@ -252,7 +259,7 @@
             && self.occurrences.values().all(Occurrence::is_done)
     }
 
-    /// Forgets the times of the schedule that are done, up to the first one that is not.
+    /// Removes the occurrences that are done, up to the first one that is not.
     pub(super) fn forget_done_occurrences(&mut self) {
         while let Some(first) = self.occurrences.first_entry()
             && *first.key() == self.done_before
@@ -281,7 +288,7 @@
             Outcome::Open => self.occurrences.iter().map(pack).collect(),
             _ => BTreeMap::new(),
         };
-        keep_heaviest_crashes(&mut occurrences);
+        limit_stored_crashes(&mut occurrences);
         ProgressRecord {
             id: self.id,
             outcome: self.outcome,
@@ -309,24 +316,25 @@
     }
 }
 
-/// Leaves out crashes of tasks beyond [`MOST_KEPT_CRASHES`], those that weigh least first.
-fn keep_heaviest_crashes(occurrences: &mut BTreeMap<u32, OccurrenceProgress>) {
+/// Limits the crashes to [`MAX_TASKS_WITH_STORED_CRASHES`] tasks, dropping those with the lowest
+/// weight first.
+fn limit_stored_crashes(occurrences: &mut BTreeMap<u32, OccurrenceProgress>) {
     let steps = occurrences.values().flat_map(|occurrence| &occurrence.steps);
     let mut weights =
-        steps.flat_map(|step| &step.crashes).map(|(_, it)| it.weight).collect::<Vec<_>>();
-    if weights.len() <= MOST_KEPT_CRASHES {
+        steps.flat_map(|step| &step.crashes).map(|(_, crashes)| crashes.weight).collect::<Vec<_>>();
+    if weights.len() <= MAX_TASKS_WITH_STORED_CRASHES {
         return;
     }
     weights.sort_unstable_by(|a, b| b.cmp(a));
-    let least = weights[MOST_KEPT_CRASHES - 1];
-    let heavier = weights.iter().filter(|&&weight| weight > least).count();
-    // Of those that weigh the same some are left out.
-    let mut left = MOST_KEPT_CRASHES - heavier;
+    let least = weights[MAX_TASKS_WITH_STORED_CRASHES - 1];
+    let above_least = weights.iter().filter(|&&weight| weight > least).count();
+    // Of the tasks with the lowest weight that is stored, only some fit.
+    let mut left = MAX_TASKS_WITH_STORED_CRASHES - above_least;
     for step in occurrences.values_mut().flat_map(|occurrence| &mut occurrence.steps) {
         step.crashes.retain(|_, crashes| {
-            let as_heavy = crashes.weight == least && left > 0;
-            left -= usize::from(as_heavy);
-            crashes.weight > least || as_heavy
+            let is_least = crashes.weight == least && left > 0;
+            left -= usize::from(is_least);
+            crashes.weight > least || is_least
         });
     }
 }
--- a/crates/kitetrail-core/src/jobs/life.rs
+++ b/crates/kitetrail-core/src/jobs/life.rs
@@ -1,4 +1,4 @@
-//! One life of a worker: what is known of it and what it was told.
+//! One instance of a worker: its known state, the orders for it and its runs.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -18,10 +18,10 @@
 };
 use crate::Time;
 
-/// Clocks are told in whole milliseconds, and ours is read in them.
+/// The rounding error of two clock readings, each in whole milliseconds.
 const CLOCK_ROUNDING_MS: i64 = 2;
 
-/// The number of a worker's life in one scheduler.
+/// The number of a worker instance, unique within one scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LifeNo(pub u32);
 
@@ -31,178 +31,187 @@
     }
 }
 
-/// Whether a worker stands in the list.
+/// Whether a worker instance is listed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Listing {
-    /// The list was not read yet.
+    /// The list has not been read yet.
     Unread,
-    /// It stands there.
+    /// The instance is listed.
     Listed,
-    /// An entry stands there that is not the worker's own, or not whole. The worker gets nothing new until its next
-    /// heartbeat puts that right; what it runs goes on under the entry before.
+    /// The listed entry is incomplete or not the worker's own. The worker gets no new work until
+    /// its next heartbeat corrects the entry; its runs continue under the previous entry.
     Unusable,
-    /// Its entry went for want of heartbeats while the store was well: the worker crashed, or does
-    /// not reach the store and serves on.
+    /// The entry expired for lack of heartbeats while the store was healthy: the worker has
+    /// crashed, or can't reach the store and continues to run its tasks.
     Lapsed,
-    /// Its entry went otherwise.
+    /// The entry was removed for another reason.
     Gone {
-        /// From when on it is certain that it did not just lapse with the store in trouble: the
-        /// worker left, or is about to.
+        /// The time from which it is certain that the entry did not just expire during an outage of
+        /// the store: the worker has left, or is about to.
         certain_at: Time,
     },
 }
 
-/// Why everything that ran in a life is over.
+/// Why all runs of a worker instance are over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LifeEnd {
-    /// Another life answers where it did.
+    /// Another instance answers at its address.
     AnotherAnswers,
-    /// A life that came after it answers on its machine.
+    /// A later instance answers on its machine.
     LaterAnswers,
-    /// Its worker started again under its id.
+    /// The worker started again under the same id.
     StartedAgain,
-    /// It is not listed and silent, and its leases are over: it crashed for good, left, or is cut off.
+    /// The instance is not listed, does not answer, and its leases have expired: it has crashed,
+    /// left, or is cut off.
     Gone,
 }
 
 impl LifeEnd {
     pub(super) fn why(self) -> &'static str {
         match self {
-            Self::AnotherAnswers => "over: it answers as another life",
-            Self::LaterAnswers => "over: a later life answers on its machine",
-            Self::StartedAgain => "over: it started again under its id",
-            Self::Gone => "gone: not listed, silent, its lease is over",
+            Self::AnotherAnswers => "over: another instance answers at its address",
+            Self::LaterAnswers => "over: a later instance answers on its machine",
+            Self::StartedAgain => "over: the worker started again under its id",
+            Self::Gone => "gone: not listed, not answering, its lease has expired",
         }
     }
 }
 
-/// Whether the owner may give leases on a worker.
+/// Whether the owner may grant leases to a worker instance.
 ///
-/// Of a worker that it does not hear any more it keeps that it gives none, so that the next owner need not outwait it there.
+/// For an instance that no longer answers, the owner stores that it grants none. The next owner
+/// then does not have to wait for leases of this owner there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Leasing {
     Allowed,
-    /// Not any more, and that is kept or about to be.
+    /// No more leases are granted, which is stored or about to be.
     Ended,
-    /// Not yet: that it does again is not kept yet.
+    /// Leases may be granted again once that is stored.
     Resumed,
 }
 
-/// The pace of the runs of an image that fills on a worker.
+/// The throttling of the best-effort runs of one image on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Pace {
-    /// The share of their speed, in percent.
+    /// The share of full speed, in percent.
     pub(super) percent: u8,
-    /// When it was changed last.
+    /// The time of the last change.
     pub(super) since: Time,
 }
 
-/// A run that filled and ended a moment ago: gauges still tell of it.
+/// A best-effort run that has just ended: the gauges still reflect it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct JustEnded {
     pub(super) image: ImageNo,
-    /// The processor time it used, in thousandths of a core.
+    /// The processor time that it used, in thousandths of a core.
     pub(super) cpu_millis: u32,
     pub(super) at: Time,
 }
 
-/// An order on its way.
+/// An order that was sent and is not answered.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SentOrder {
     pub(super) at: Time,
-    /// It starts something, so that something may end there.
+    /// Whether the order starts a run. The worker may then report the end of a run that the
+    /// scheduler does not know.
     pub(super) starts: bool,
 }
 
-/// What a worker's clock showed in an answer.
+/// A worker's clock as given in an answer.
 #[derive(Debug, Clone, Copy)]
 struct ClockReading {
     clock_ms: u64,
-    /// When the question left and when the answer was heard: the clock was read in between.
-    asked_at: Time,
-    heard_at: Time,
+    /// The times at which the request was sent and the answer received: the clock was read in
+    /// between.
+    sent_at: Time,
+    received_at: Time,
 }
 
 impl ClockReading {
-    /// The clock minus ours, in milliseconds.
-    fn ahead_ms(self) -> i64 {
-        self.clock_ms as i64 - self.heard_at.as_ms() as i64
+    /// Returns the worker's clock minus the scheduler's clock, in milliseconds.
+    fn offset_ms(self) -> i64 {
+        self.clock_ms as i64 - self.received_at.as_ms() as i64
     }
 
-    /// Whether another reading, heard after this one, may be of the same clock.
+    /// Returns whether another reading, received after this one, may be of the same clock.
     ///
-    /// Answers pass each other: the other may have been read before this one, if it was asked for before this one was heard.
+    /// Answers may overtake each other: the other clock may have been read first if its request was
+    /// sent before this answer was received.
     fn agrees_with(self, other: Self) -> bool {
-        let ms = |moment: Time| moment.as_ms() as i64;
-        let passed_ms = other.clock_ms as i64 - self.clock_ms as i64;
-        let least_ms = ms(other.asked_at) - ms(self.heard_at);
-        let most_ms = ms(other.heard_at) - ms(self.asked_at);
-        let slack_ms = most_ms * i64::from(CLOCK_SLOW_PERCENT) / 100 + CLOCK_ROUNDING_MS;
-        (least_ms - slack_ms..=most_ms + slack_ms).contains(&passed_ms)
+        let ms = |time: Time| time.as_ms() as i64;
+        let elapsed_ms = other.clock_ms as i64 - self.clock_ms as i64;
+        let min_ms = ms(other.sent_at) - ms(self.received_at);
+        let max_ms = ms(other.received_at) - ms(self.sent_at);
+        let tolerance_ms = max_ms * i64::from(CLOCK_SLOW_PERCENT) / 100 + CLOCK_ROUNDING_MS;
+        (min_ms - tolerance_ms..=max_ms + tolerance_ms).contains(&elapsed_ms)
     }
 }
 
-/// One life of a worker.
+/// One instance of a worker.
 #[derive(Debug)]
 pub(super) struct Life {
     pub(super) entry: Arc<WorkerEntry>,
     pub(super) listing: Listing,
-    /// The store holds that tasks may be started here.
+    /// Whether the store holds the record that tasks may be started here.
     pub(super) recorded: bool,
-    /// Since when this scheduler has known of it: it had begun by then.
+    /// The time at which this scheduler learned of the instance, which had started by then.
     known_since: Time,
-    /// Its first report in this scheduler has come.
+    /// Whether its first report to this scheduler has arrived.
     pub(super) known: bool,
-    /// When it answered last.
+    /// The time of its last answer.
     pub(super) heard_at: Option<Time>,
-    /// The worker's clock as of its last answer.
+    /// The worker's clock in its last answer.
     clock: Option<ClockReading>,
-    /// Another life under its id is known, and no answer has shown yet which of them is over. Nothing is ordered meanwhile.
+    /// Whether another instance under the same id is known and no answer has shown yet which of
+    /// them is over. No orders are sent meanwhile.
     pub(super) contested: bool,
-    /// By now every run there has certainly lost its lease, unless it is renewed.
+    /// The time by which every lease there has certainly expired, unless renewed.
     pub(super) lapses_at: Time,
     pub(super) leasing: Leasing,
-    /// Its row that is on its way to the store says that it gets no lease.
+    /// Whether its row that is being written says that it gets no lease.
     pub(super) sent_not_leased: bool,
-    /// It is silent past that moment, and the store has not confirmed this owner since.
+    /// Whether it has not answered until `lapses_at`, and the store has not confirmed this owner
+    /// since.
     pub(super) lapse_unconfirmed: bool,
     /// The fencing token of the next order.
     pub(super) token: u64,
     runs: BTreeMap<TaskName, RunThere>,
-    /// What is left, unless something changed since.
+    /// The free resources; `None` if they must be computed anew.
     pub(super) room: Option<Room>,
-    /// Orders that wait until the one on its way is answered.
+    /// The orders that wait until the sent one is answered.
     pub(super) orders: VecDeque<Order>,
     pub(super) order_sent: Option<SentOrder>,
     pub(super) hold_sent: bool,
     pub(super) next_hold_at: Option<Time>,
-    /// Its availability zone is being evacuated.
+    /// Whether its availability zone is being evacuated.
     pub(super) zone_evacuated: bool,
-    /// When it was last looked for room for what would be lost as the worker leaves.
+    /// The time of the last search for other room for the tasks that would be lost when the worker
+    /// leaves.
     pub(super) evacuated_at: Option<Time>,
-    /// Holds in a row that brought nothing.
+    /// The number of unanswered holds in a row.
     pub(super) silent: u32,
-    /// When the first of them brought nothing, or an order before it.
+    /// The time at which the first of them, or an order before it, counted as unanswered.
     pub(super) silent_since: Option<Time>,
-    /// Its machine crashed of late.
+    /// Whether its machine crashed recently.
     pub(super) fell_of_late: bool,
-    /// Runs that may have made it fall silent and were given up since.
+    /// The runs that may have crashed it and were given up since.
     pub(super) suspects: Vec<Suspect>,
-    /// Tasks that the owner before was about to start here, each as one that may crash it.
+    /// The tasks that the previous owner was about to start here with a stored start, since they
+    /// may crash their worker.
     pub(super) begun_before: Vec<TaskName>,
-    /// One of them brought nothing while the owner was not late itself.
+    /// Whether one of the holds went unanswered while the owner itself did not lag.
     pub(super) silent_for_sure: bool,
-    /// The number of the last end that was heard of.
+    /// The number of the last run end that the worker reported.
     pub(super) ends_seen: u64,
-    /// The number of the last end that is kept for good.
+    /// The number of the last run end that is durable.
     pub(super) ends_kept: u64,
-    /// The number of the last end that the worker was told is kept.
+    /// The number of the last run end that was acknowledged to the worker as durable.
     pub(super) ends_told: u64,
-    /// Failed runs in a row, over all tasks.
+    /// The number of failed runs in a row, over all tasks.
     pub(super) failures: u32,
-    /// It gets no new work before.
+    /// The time before which it gets no new work because its runs failed.
     pub(super) set_aside_until: Option<Time>,
-    /// How often in a row it was set aside since its runs failed.
+    /// The number of times in a row that it was quarantined because its runs failed.
     pub(super) set_aside_times: u32,
     pub(super) just_ended: Vec<JustEnded>,
     pub(super) paces: BTreeMap<ImageNo, Pace>,
@@ -253,20 +262,21 @@
         &self.entry.id
     }
 
-    /// Whether another life answers, or seems to, where this one does: only one of them lives.
+    /// Returns whether another entry has the id, the address or the machine of this instance: then
+    /// only one of them is alive.
     pub(super) fn shares_place(&self, other: &WorkerEntry) -> bool {
         let same_machine = other.machine.is_some() && self.entry.machine == other.machine;
         let same_place = self.entry.address == other.address || same_machine;
         self.entry.key() != other.key() && (self.id() == &other.id || same_place)
     }
 
-    /// Whether it had begun before a moment and was not heard since: a life that answers a question
-    /// sent at that moment from the same place came after it.
+    /// Returns whether the instance had started before a moment and has not answered since. An
+    /// instance at the same address that answers a request sent at that moment is a later one.
     pub(super) fn precedes(&self, moment: Time) -> bool {
         self.known_since <= moment && self.heard_at.is_none_or(|heard_at| heard_at < moment)
     }
 
-    /// Whether new work may go there.
+    /// Returns whether new work may be placed here.
     pub(super) fn takes_work(&self, now: Time) -> bool {
         let set_aside = self.set_aside_until.is_some_and(|until| now < until);
         self.known
@@ -280,7 +290,7 @@
             && !set_aside
     }
 
-    /// Whether it is missing from the list, or was not told of yet.
+    /// Returns whether the instance is missing from the list, or the list has not been read yet.
     pub(super) fn is_missing(&self) -> bool {
         match self.listing {
             Listing::Listed | Listing::Unusable => false,
@@ -288,7 +298,8 @@
         }
     }
 
-    /// Whether it is about to leave: it said so, or its entry went for good and it still answers.
+    /// Returns whether the worker is about to leave: it is draining, or its entry was removed for
+    /// certain and it still answers.
     pub(super) fn is_leaving(&self, now: Time) -> bool {
         match self.listing {
             _ if self.entry.draining => true,
@@ -297,13 +308,14 @@
         }
     }
 
-    /// Whether time alone has changed something: its lease ran out, a hold is due, or it is to be emptied.
+    /// Returns whether the passing of time requires action: its lease has expired, a hold is due,
+    /// or the worker is leaving and its tasks must move.
     pub(super) fn needs_check(&self, now: Time) -> bool {
-        let hold_is_due = !self.hold_sent && self.next_hold_at.is_some_and(|at| at <= now);
+        let hold_is_due = !self.hold_sent && self.next_hold_at.is_some_and(|due_at| due_at <= now);
         hold_is_due || self.lapses_at <= now || self.is_leaving(now)
     }
 
-    /// What runs there, as believed.
+    /// Returns the runs here, as far as known.
     pub(super) fn runs(&self) -> &BTreeMap<TaskName, RunThere> {
         &self.runs
     }
@@ -316,41 +328,46 @@
         self.runs.values().any(|run| run.fills)
     }
 
-    /// Whether a tail was above its target when it was last told, with something that fills beside it.
+    /// Returns whether a tail latency was above its target in the last report, with a best-effort
+    /// run beside it.
     pub(super) fn may_do_harm(&self) -> bool {
         self.fills() && self.runs.values().any(|run| run.over_since.is_some())
     }
 
-    /// The worker's clock at our moment `now`, in milliseconds; `None` before it was heard.
+    /// Returns the worker's clock at the scheduler's time `now`, in milliseconds; `None` before its
+    /// first answer.
     pub(super) fn clock_ms(&self, now: Time) -> Option<u64> {
-        let ahead_ms = self.clock?.ahead_ms();
-        Some(now.as_ms().saturating_add_signed(ahead_ms))
+        let offset_ms = self.clock?.offset_ms();
+        Some(now.as_ms().saturating_add_signed(offset_ms))
     }
 
-    /// Whether an answer may be of this life, by the clock that it shows. `true` before any clock was heard.
-    pub(super) fn clock_agrees(&self, clock_ms: u64, asked_at: Time, now: Time) -> bool {
-        let reading = ClockReading { clock_ms, asked_at, heard_at: now };
+    /// Returns whether an answer may come from this instance, judging by the clock in it; `true`
+    /// before the first answer.
+    pub(super) fn clock_agrees(&self, clock_ms: u64, sent_at: Time, now: Time) -> bool {
+        let reading = ClockReading { clock_ms, sent_at, received_at: now };
         self.clock.is_none_or(|clock| clock.agrees_with(reading))
     }
 
-    /// The number of the last end that a hold may tell is kept; 0 if there is nothing new to tell, or the hold may reach a
-    /// later life, whose ends have other numbers and would be dropped unheard.
+    /// Returns the number of the last run end that a hold may acknowledge. Returns 0 if there is
+    /// nothing new to acknowledge, or the hold may reach a later instance: that one numbers its
+    /// ends anew and would drop ends that were never received.
     pub(super) fn ends_to_tell(&self) -> u64 {
         let is_sure = self.known && self.silent == 0 && !self.contested;
         if is_sure && self.ends_kept > self.ends_told { self.ends_kept } else { 0 }
     }
 
-    /// Whether the order on its way, if any, starts something.
+    /// Returns whether an order that starts a run was sent and is not answered.
     pub(super) fn start_is_on_its_way(&self) -> bool {
         self.order_sent.is_some_and(|order| order.starts)
     }
 
-    /// A run, to note how it goes. What it takes stays the same.
+    /// Returns a run for updates of its state. Its size must not change, since the free resources
+    /// are not computed anew.
     pub(super) fn run_mut(&mut self, task: TaskName, run: u32) -> Option<&mut RunThere> {
-        self.runs.get_mut(&task).filter(|there| there.run == run)
+        self.runs.get_mut(&task).filter(|known| known.run == run)
     }
 
-    /// All runs, to note how they go.
+    /// Returns all runs for updates of their state. Their sizes must not change.
     pub(super) fn runs_mut(&mut self) -> impl Iterator<Item = (TaskName, &mut RunThere)> {
         self.runs.iter_mut().map(|(&task, run)| (task, run))
     }
@@ -360,7 +377,7 @@
         self.runs.insert(task, run);
     }
 
-    /// Takes a run out, if it is there.
+    /// Removes a run, if present.
     pub(super) fn remove_run(&mut self, task: TaskName, run: u32) -> Option<RunThere> {
         self.run_mut(task, run)?;
         self.room = None;
@@ -372,34 +389,34 @@
         mem::take(&mut self.runs)
     }
 
-    /// Takes note that the worker answered, to a question that left at a moment.
-    pub(super) fn note_heard(&mut self, clock_ms: u64, asked_at: Time, now: Time) {
+    /// Records an answer of the worker to a request sent at `sent_at`.
+    pub(super) fn note_heard(&mut self, clock_ms: u64, sent_at: Time, now: Time) {
         self.heard_at = Some(now);
         self.silent = 0;
         self.silent_since = None;
         self.suspects.clear();
         self.silent_for_sure = false;
         self.lapse_unconfirmed = false;
-        self.clock = Some(ClockReading { clock_ms, asked_at, heard_at: now });
+        self.clock = Some(ClockReading { clock_ms, sent_at, received_at: now });
     }
 
     pub(super) fn heard_ago_ms(&self, now: Time) -> Option<u64> {
-        self.heard_at.map(|at| now.since(at).as_millis() as u64)
+        self.heard_at.map(|heard_at| now.since(heard_at).as_millis() as u64)
     }
 
-    /// Takes note that runs may be leased until `lease` after now.
+    /// Records that runs may be leased until `lease` after now.
     pub(super) fn note_leased(&mut self, lease: Duration, now: Time) {
         self.lapses_at = self.lapses_at.max(now + lease);
     }
 
-    /// Takes note that a run was confirmed to run.
+    /// Records that a run was confirmed to run.
     pub(super) fn note_confirmed(&mut self, task: TaskName, run: u32, now: Time) {
-        if let Some(there) = self.run_mut(task, run).filter(|there| !there.is_running()) {
-            there.phase = Phase::Running(now);
+        if let Some(known) = self.run_mut(task, run).filter(|known| !known.is_running()) {
+            known.phase = Phase::Running(now);
         }
     }
 
-    /// Whether the order to start a run has left, so that it may have begun.
+    /// Returns whether the order to start a run was sent, so that the run may have started.
     pub(super) fn was_sent(&self, task: TaskName, run: &RunThere) -> bool {
         let waits = |order: &Order| matches!(order, Order::Start(start) if start.task == task);
         match run.phase {
@@ -409,14 +426,14 @@
         }
     }
 
-    /// For how long a run is known to have run here: from when its start was confirmed to the worker's last answer.
-    /// `None` if no start was confirmed.
+    /// Returns the time that a run is known to have run here, from the confirmation of its start to
+    /// the worker's last answer; `None` if its start was not confirmed.
     pub(super) fn known_to_run(&self, run: &RunThere) -> Option<Duration> {
         let Phase::Running(since) = run.phase else { return None };
         Some(self.heard_at.map_or(Duration::ZERO, |heard_at| heard_at.since(since)))
     }
 
-    /// Copies what a report says of runs that are known to run.
+    /// Copies the percent and gauge of each known run from a report.
     pub(super) fn note_running(&mut self, report: &Report) {
         for reported in &report.running {
             if let Some(run) = self.run_mut(reported.task, reported.run) {
--- a/crates/kitetrail-core/src/jobs/names.rs
+++ b/crates/kitetrail-core/src/jobs/names.rs
@@ -1,4 +1,4 @@
-//! What jobs, their tasks, queues and workers' lives are called.
+//! The names of jobs, tasks, queues and worker instances.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -9,22 +9,23 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// How much of a malformed job's id an error shows, in characters: more than twice a right one.
-const SHOWN_OF_JOB_ID: usize = 40;
-/// The same for a task's name, whose numbers may be long.
-const SHOWN_OF_TASK_NAME: usize = 80;
-/// The same for the incarnation of a worker, a number of 20 digits at most.
-const SHOWN_OF_INCARNATION: usize = 40;
-/// The length of a job's id in hexadecimal digits, of a 64-bit number.
+/// The maximum number of characters of a malformed job id that an error shows: more than twice the
+/// valid length.
+const MAX_SHOWN_JOB_ID_CHARS: usize = 40;
+/// The same for a task name, whose numbers may be long.
+const MAX_SHOWN_TASK_NAME_CHARS: usize = 80;
+/// The same for a worker's incarnation, a number of at most 20 digits.
+const MAX_SHOWN_INCARNATION_CHARS: usize = 40;
+/// The length of a job id: the hexadecimal digits of a 64-bit number.
 const JOB_ID_DIGITS: usize = 16;
 
-/// A name that can't be read.
+/// A name that can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("`{text}` is not {expected}")]
 pub struct InvalidName {
-    /// What was given.
+    /// The given text, shortened.
     pub text: String,
-    /// What would have been right.
+    /// The expected form.
     pub expected: &'static str,
 }
 
@@ -44,11 +45,11 @@
 
     fn from_str(s: &str) -> Result<Self, InvalidName> {
         let lower_hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
-        let shaped = s.len() == JOB_ID_DIGITS && s.bytes().all(lower_hex);
-        let number = if shaped { u64::from_str_radix(s, 16).ok() } else { None };
+        let is_well_formed = s.len() == JOB_ID_DIGITS && s.bytes().all(lower_hex);
+        let number = if is_well_formed { u64::from_str_radix(s, 16).ok() } else { None };
         number.map(Self).ok_or_else(|| InvalidName {
-            text: s.chars().take(SHOWN_OF_JOB_ID).collect(),
-            expected: "a job's id: write 16 lower-case hexadecimal digits",
+            text: s.chars().take(MAX_SHOWN_JOB_ID_CHARS).collect(),
+            expected: "a job id: expected 16 lower-case hexadecimal digits",
         })
     }
 }
@@ -67,16 +68,17 @@
     }
 }
 
-/// One task: a job, which time of its schedule, which step, and its number in the step.
+/// The name of a task: its job, the occurrence in the schedule, the step, and the task's number in
+/// the step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskName {
     /// The job.
     pub job: JobId,
-    /// Which time of the schedule, 0 without one.
+    /// The occurrence in the job's schedule, 0 without a schedule.
     pub occurrence: u32,
-    /// The step's number.
+    /// The number of the step.
     pub step: u32,
-    /// The task's number in the step.
+    /// The number of the task in the step.
     pub index: u32,
 }
 
@@ -91,8 +93,8 @@
 
     fn from_str(s: &str) -> Result<Self, InvalidName> {
         let invalid = || InvalidName {
-            text: s.chars().take(SHOWN_OF_TASK_NAME).collect(),
-            expected: "a task's name: write job.occurrence.step.index",
+            text: s.chars().take(MAX_SHOWN_TASK_NAME_CHARS).collect(),
+            expected: "a task name: expected job.occurrence.step.index",
         };
         let mut parts = s.split('.');
         let job = parts.next().ok_or_else(invalid)?.parse().map_err(|_| invalid())?;
@@ -102,13 +104,13 @@
 }
 
 impl TaskName {
-    /// The step that the task belongs to.
+    /// Returns the name of the step that the task belongs to.
     pub(super) fn step_name(self) -> StepName {
         StepName { job: self.job, occurrence: self.occurrence, step: self.step }
     }
 }
 
-/// One step at one time of its job's schedule.
+/// The name of a step in one occurrence of its job's schedule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct StepName {
     pub(super) job: JobId,
@@ -117,14 +119,14 @@
 }
 
 impl StepName {
-    /// The task with a number in the step.
+    /// Returns the name of the task with this number in the step.
     pub(super) fn task(self, index: u32) -> TaskName {
         TaskName { job: self.job, occurrence: self.occurrence, step: self.step, index }
     }
 }
 
-/// Declares a newtype over shared text.
-macro_rules! text_type {
+/// Declares a newtype over a shared string.
+macro_rules! string_newtype {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -132,7 +134,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -164,19 +166,20 @@
     };
 }
 
-text_type! {
-    /// The name of a queue that takes jobs.
+string_newtype! {
+    /// The name of a queue for jobs.
     QueueName
 }
-text_type! {
-    /// The id of a worker. One that starts anew has another id, or the same one and another [`Incarnation`].
+string_newtype! {
+    /// The id of a worker. A worker that restarts has another id, or the same id and another
+    /// [`Incarnation`].
     LifeId
 }
 
-/// Which start of a worker under its id: the moment of it, in milliseconds since 1970.
+/// The incarnation of a worker under its id: the time of its start, in milliseconds since 1970.
 ///
-/// It tells two incarnations of a worker apart, no more: the time of day may have been put back between them, so which of
-/// two is the later one only answers show.
+/// Incarnations can be compared for equality only. The wall clock may have been set back between
+/// two starts, so only the workers' answers show which of two incarnations is the later one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
@@ -191,18 +194,19 @@
 
     fn from_str(s: &str) -> Result<Self, InvalidName> {
         s.parse().map(Self).map_err(|_| InvalidName {
-            text: s.chars().take(SHOWN_OF_INCARNATION).collect(),
-            expected: "an incarnation: write milliseconds since 1970 as a whole number",
+            text: s.chars().take(MAX_SHOWN_INCARNATION_CHARS).collect(),
+            expected: "an incarnation: expected milliseconds since 1970 as a whole number",
         })
     }
 }
 
-/// One incarnation of a worker: what runs in it ends with it, and its numbers and clock mean nothing to the next one.
+/// The key of a worker instance. Its runs end with it, and its run numbers and clock are
+/// meaningless to the next one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LifeKey {
     /// The worker.
     pub id: LifeId,
-    /// Which of its starts, if the platform tells.
+    /// The incarnation, if the platform reports it.
     pub incarnation: Option<Incarnation>,
 }
 
--- a/crates/kitetrail-core/src/jobs/note.rs
+++ b/crates/kitetrail-core/src/jobs/note.rs
@@ -1,4 +1,4 @@
-//! The scheduler's decisions, as data for the log.
+//! The scheduler's decisions as structured log entries.
 
 use super::{
     crashes::CrashEvidence,
@@ -10,32 +10,32 @@
 };
 use crate::Resources;
 
-/// A decision, for the log.
+/// A decision to be logged.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Note {
-    /// A job was taken, or found to be known.
+    /// A job was accepted, or was already known.
     Submitted {
         /// The job.
         job: JobId,
         /// The queue.
         queue: QueueName,
-        /// Tasks over all steps.
+        /// The number of tasks over all steps.
         tasks: u64,
-        /// Whether its id was known already.
+        /// Whether the id was already known.
         known: bool,
     },
     /// A job ended.
     JobEnded {
         /// The job.
         job: JobId,
-        /// How.
+        /// The final state.
         state: JobState,
-        /// The time since it was handed in, in milliseconds.
+        /// The time since the job was submitted, in milliseconds.
         after_ms: u64,
-        /// The time that its queue promises, in milliseconds.
+        /// The time that the queue promises, in milliseconds.
         objective_ms: u64,
     },
-    /// A run was given to a worker.
+    /// A run was placed on a worker.
     Placed {
         /// The task.
         task: TaskName,
@@ -43,9 +43,10 @@
         run: u32,
         /// The worker.
         worker: LifeId,
-        /// What the worker had left before, as processor thousandths and megabytes.
+        /// The worker's free resources before the placement.
         free: Resources,
-        /// How old our knowledge of the worker is, in milliseconds; `None`: never heard.
+        /// The time since the worker's last answer, in milliseconds; `None` if it has never
+        /// answered.
         heard_ago_ms: Option<u64>,
     },
     /// A run ended.
@@ -56,10 +57,11 @@
         run: u32,
         /// The worker.
         worker: LifeId,
-        /// How.
+        /// How the run ended.
         how: HowEnded,
     },
-    /// A worker told the end of a run that is believed to run there, under a number that was heard before.
+    /// A worker reported the end of a run that should be running there, under an end number that
+    /// was received before.
     EndPassedOver {
         /// The task.
         task: TaskName,
@@ -67,25 +69,26 @@
         run: u32,
         /// The worker.
         worker: LifeId,
-        /// The worker's number of the end.
+        /// The end number in the report.
         number: u64,
-        /// The highest number that was heard.
+        /// The highest end number received so far.
         seen: u64,
     },
-    /// A worker is another incarnation than it was: it started again under its id.
+    /// A worker restarted under its id as another incarnation.
     WorkerRestarted {
         /// The worker.
         worker: LifeId,
-        /// The incarnation before, if it was told.
+        /// The previous incarnation, if reported.
         before: Option<Incarnation>,
-        /// The incarnation that is told now.
+        /// The current incarnation, if reported.
         now: Option<Incarnation>,
-        /// The number of the last end that was heard of the one before.
+        /// The number of the last run end received from the previous incarnation.
         ends_seen: u64,
-        /// How many runs were believed there.
+        /// The number of runs that the previous incarnation should have been running.
         runs: u32,
     },
-    /// A run was given up: where it was placed can't be running it any more.
+    /// A run was given up, since the worker instance that it was placed on can no longer be running
+    /// it.
     RunGivenUp {
         /// The task.
         task: TaskName,
@@ -93,37 +96,38 @@
         run: u32,
         /// The worker.
         worker: LifeId,
-        /// Why.
+        /// The reason.
         why: &'static str,
-        /// For how long it is known to have run there, in milliseconds; `None`: not known to have begun.
+        /// The time that the run is known to have run there, in milliseconds; `None` if its start
+        /// was not confirmed.
         ran_ms: Option<u64>,
-        /// How many other runs were believed there.
+        /// The number of other runs that should have been running there.
         beside: u32,
     },
-    /// A worker crashed under a task, which may be what crashed it.
+    /// A worker crashed while it ran a task that may be the cause.
     CrashedUnder {
         /// The task.
         task: TaskName,
         /// The worker.
         worker: LifeId,
-        /// How strongly that speaks against the task.
+        /// How strongly the crash suggests that the task caused it.
         evidence: CrashEvidence,
-        /// How many workers have crashed under it in a row.
+        /// The number of consecutive crashes counted against the task.
         crashes: u32,
     },
-    /// A task under which workers crashed has run for long: it is no suspect any more.
+    /// A task whose workers had crashed has run for long enough to be no longer a suspect.
     NoMoreSuspected {
         /// The task.
         task: TaskName,
     },
-    /// A job failed for a task that crashes its workers.
+    /// A job failed because one of its tasks crashes workers.
     CrashingTaskGivenUp {
         /// The task.
         task: TaskName,
-        /// The workers that crashed under it, in order.
+        /// The workers that crashed while they ran the task, in order.
         workers: Vec<LifeId>,
     },
-    /// A run is stopped to go on elsewhere.
+    /// A run is stopped to continue on another worker.
     RunMoved {
         /// The task.
         task: TaskName,
@@ -131,10 +135,10 @@
         run: u32,
         /// The worker.
         worker: LifeId,
-        /// Why.
+        /// The reason.
         why: &'static str,
     },
-    /// An order was refused or not answered.
+    /// An order was refused, not answered, or answered by another instance of the worker.
     OrderFailed {
         /// The task.
         task: TaskName,
@@ -142,66 +146,70 @@
         run: u32,
         /// The worker.
         worker: LifeId,
-        /// What came back.
+        /// The answer.
         answer: OrderAnswer,
     },
-    /// What is believed of a worker changed.
+    /// The assessment of a worker changed.
     Worker {
         /// The worker.
         worker: LifeId,
-        /// What is believed now.
+        /// The new assessment.
         belief: &'static str,
-        /// How long ago it was heard, in milliseconds; `None`: never.
+        /// The time since the worker's last answer, in milliseconds; `None` if it has never
+        /// answered.
         heard_ago_ms: Option<u64>,
     },
-    /// Only workers of availability zones that are being evacuated could run the tasks of a step: they
-    /// wait until one is taken back.
+    /// Only workers in availability zones under evacuation could run the tasks of a step. The tasks
+    /// wait until an evacuation is cancelled.
     WaitsForZone {
         /// The job.
         job: JobId,
         /// The step.
         step: u32,
     },
-    /// New jobs are refused for want of processor time, or are taken again.
+    /// New jobs are refused because the owner lacks processor time, or are accepted again.
     Overload {
-        /// Whether they are taken.
+        /// Whether new jobs are accepted.
         takes_jobs: bool,
-        /// How far the owner lags, in milliseconds.
+        /// The owner's lag, in milliseconds.
         lag_ms: u64,
     },
-    /// What of one kind of work waits for a worker, and what was started in the last second.
+    /// The tasks of one kind that wait for a worker, and those started in the last second.
     Backlog {
-        /// The kind.
+        /// The kind of work.
         kind: WorkKind,
-        /// Tasks that wait and whose jobs can still end in time, by what their callers estimated.
+        /// The number of waiting tasks whose jobs can still end in time, by their callers'
+        /// estimates.
         waiting_in_time: u32,
-        /// Tasks that wait and whose jobs can't.
+        /// The number of waiting tasks whose jobs can't end in time.
         waiting_late: u32,
-        /// The age of the oldest job with a task that waits, in milliseconds.
+        /// The age of the oldest job with a waiting task, in milliseconds.
         oldest_ms: u64,
-        /// Tasks started of jobs that could still end in time.
+        /// The number of started tasks whose jobs could still end in time.
         started_in_time: u32,
-        /// Tasks started of jobs that could not.
+        /// The number of started tasks whose jobs could not end in time.
         started_late: u32,
-        /// How far the owner lags, in milliseconds.
+        /// The owner's lag, in milliseconds.
         lag_ms: u64,
     },
-    /// What waits to be kept for good.
+    /// The data that is not durable yet.
     Unkept {
-        /// Records that wait for a batch.
+        /// The number of records that wait for a batch.
         records: u64,
-        /// Ends of runs that workers were not told are kept, and tell again.
+        /// The number of run ends that are not acknowledged to their workers, which report them
+        /// again.
         ends: u64,
-        /// How long ago the batch on its way left, in milliseconds; `None`: there is none.
+        /// The time since the pending batch was sent, in milliseconds; `None` if no batch is
+        /// pending.
         batch_sent_ago_ms: Option<u64>,
     },
-    /// The runs of a worker that fill were paced.
+    /// The best-effort runs on a worker were throttled, or their throttling changed.
     Paced {
         /// The worker.
         worker: LifeId,
-        /// Their share of their speed, in percent.
+        /// Their share of full speed, in percent.
         percent: u8,
-        /// The worst tail of what serves there, over its target, in percent.
+        /// The highest tail latency on the worker relative to its target, in percent.
         tail_of_target_percent: u32,
     },
 }
--- a/crates/kitetrail-core/src/jobs/order.rs
+++ b/crates/kitetrail-core/src/jobs/order.rs
@@ -1,49 +1,49 @@
-//! What a worker is told to do, and what comes back.
+//! Orders to workers, and their answers.
 
 use std::sync::Arc;
 
 use super::names::{Incarnation, TaskName};
 
-/// A task to start.
+/// An order to start a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartOrder {
     /// The task.
     pub task: TaskName,
-    /// Which of its runs.
+    /// The number of the run.
     pub run: u32,
-    /// What the task is told.
+    /// The payload for the task.
     pub payload: Arc<str>,
-    /// Where it goes on from.
+    /// The checkpoint to continue from.
     pub checkpoint: Option<String>,
-    /// The proof that an adviser allows this worker, if the queue needs one.
+    /// The proof that an adviser allows this worker, if the queue requires one.
     pub ticket: Option<String>,
 }
 
-/// What a worker is told to do, one at a time.
+/// An order to a worker. A worker gets one order at a time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Order {
-    /// Run a task.
+    /// Starts a task.
     Start(StartOrder),
-    /// Stop a run.
+    /// Stops a run.
     Stop {
         /// The task.
         task: TaskName,
         /// The run.
         run: u32,
     },
-    /// Let a run work at a share of its speed.
+    /// Limits a run to a share of its full speed.
     Pace {
         /// The task.
         task: TaskName,
         /// The run.
         run: u32,
-        /// Its share, in percent.
+        /// The share, in percent.
         percent: u8,
     },
 }
 
 impl Order {
-    /// The run that is meant.
+    /// Returns the task and run that the order is for.
     pub fn run(&self) -> (TaskName, u32) {
         match self {
             Order::Start(start) => (start.task, start.run),
@@ -52,39 +52,39 @@
     }
 }
 
-/// Why a worker refused an order. It has done nothing.
+/// Why a worker refused an order. A refused order has no effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// It has seen a higher fencing token.
+    /// The worker has seen a higher fencing token.
     Fenced,
-    /// It knows a later run, or that this one ended.
+    /// The worker knows a later run of the task, or this run has ended.
     Old,
-    /// The lease had passed already.
+    /// The lease had already expired.
     Late,
-    /// It has no room.
+    /// The worker has too few free resources.
     Room,
-    /// The proof of the adviser is missing or no longer valid.
+    /// The adviser's proof is missing or no longer valid.
     Ticket,
-    /// It can't read the order.
+    /// The worker can't parse the order.
     Malformed,
-    /// It is not well.
+    /// The worker is unhealthy.
     Unhealthy,
 }
 
-/// What came back to an order.
+/// The result of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is done.
+    /// The worker carried out the order.
     Done {
         /// The worker's clock, in milliseconds.
         clock_ms: u64,
-        /// Which start of the worker under its id has done it, if the answer tells.
+        /// The incarnation that answered, if the answer says so.
         incarnation: Option<Incarnation>,
     },
-    /// It is not done.
+    /// The worker refused the order.
     Refused(Refusal),
-    /// This life of the worker is over.
+    /// This worker instance is over.
     LifeOver,
-    /// Nothing came back. It may have been done, or be done later.
+    /// No answer arrived. The order may have been carried out, or may still be.
     Unanswered,
 }
--- a/crates/kitetrail-core/src/jobs/record.rs
+++ b/crates/kitetrail-core/src/jobs/record.rs
@@ -1,4 +1,4 @@
-//! What of a job must outlast every box.
+//! The rows that the scheduler keeps in the store, so that the next owner can continue from them.
 
 use std::collections::BTreeMap;
 
@@ -10,83 +10,84 @@
     spec::{JobSpec, QueueTerms},
 };
 
-/// How many tasks' bits one hexadecimal digit holds.
+/// The number of tasks per hexadecimal digit, one bit each.
 const TASKS_PER_DIGIT: u32 = 4;
 
-/// How a job stands for good.
+/// The stored outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Not ended.
+    /// The job has not ended.
     #[default]
     Open,
-    /// All its tasks are done.
+    /// All tasks of the job are done.
     Completed,
-    /// A task failed too often.
+    /// A task reached the limit of failed runs.
     Failed,
-    /// Its caller cancelled it.
+    /// The caller cancelled the job.
     Cancelled,
 }
 
-/// A row of the store.
+/// A change of a row in the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record {
-    /// An accepted job. Written once.
+    /// Writes an accepted job. This happens once per job.
     Job(JobRecord),
-    /// How far a job is. Written at each change that must be kept.
+    /// Writes the progress of a job, at each change that must be durable.
     Progress(ProgressRecord),
-    /// What was asked for goes: the job ended, and nobody needs it any more.
+    /// Removes the specification of a job that has ended and is no longer needed.
     DropJob(JobId),
-    /// A job that ended and whose time of being remembered is over: its progress goes.
+    /// Removes the progress of a job that has ended, after its retention time.
     Forget(JobId),
-    /// A worker's life that tasks may be started on. Written before the first of them.
+    /// Writes a worker instance that tasks may be started on, before the first of them is started.
     LifeUsed(LifeRecord),
-    /// A worker's life on which certainly nothing runs any more.
+    /// Removes a worker instance on which certainly nothing runs any more.
     LifeOver(LifeKey),
-    /// What was learned of how images disturb each other.
+    /// Writes the learned interference between images.
     Effects(EffectsRecord),
 }
 
-/// What was learned of how images disturb each other, so that a new owner need not learn it anew.
+/// The learned interference between images, stored so that a new owner does not have to learn it
+/// anew.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct EffectsRecord {
-    /// What is known of each image that serves.
+    /// The entries of all latency-critical images.
     pub serving: Vec<ServingEffects>,
 }
 
-/// What is known of an image that serves.
+/// The learned interference with one latency-critical image.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServingEffects {
     /// The image.
     pub image: String,
-    /// Its lowest tail, in milliseconds.
+    /// The lowest tail latency of the image, in milliseconds.
     pub lowest_tail_ms: f64,
-    /// How much stress each image that fills adds to it, when it uses all processors.
+    /// The stress that each best-effort image adds to this image when it uses all processors.
     pub effects: Vec<(String, f64)>,
 }
 
-/// A worker's life that tasks may be started on.
+/// A worker instance that tasks may be started on.
 ///
-/// A new owner must hear each of them, or outwait its lease, before it starts anew what nobody
-/// reports.
+/// Before a new owner starts a task again that no worker reports, it must have an answer of each of
+/// these instances, or wait until its leases have expired.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LifeRecord {
     /// The worker.
     pub id: LifeId,
-    /// Which of its starts. `None` also in rows that were written before incarnations were told apart.
+    /// The incarnation. Also `None` in rows written before incarnations were distinguished.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<Incarnation>,
-    /// Where it answers.
+    /// The address of the worker.
     pub address: String,
     /// The service whose tasks it runs.
     pub service: String,
-    /// It was silent, and gets no lease before this is written anew.
+    /// Whether the instance stopped answering and gets no lease until this row is written anew.
     #[serde(default)]
     pub not_leased: bool,
 }
 
 impl LifeRecord {
-    /// The incarnation that it is of.
+    /// Returns the key of the instance.
     pub fn key(&self) -> LifeKey {
         LifeKey { id: self.id.clone(), incarnation: self.incarnation }
     }
@@ -95,31 +96,31 @@
 /// An accepted job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Its id.
+    /// The id of the job.
     pub id: JobId,
-    /// The queue that took it, with its terms at that moment.
+    /// The queue that accepted the job, with its terms at that time.
     pub queue: QueueTerms,
-    /// What was asked for.
+    /// The job's specification.
     pub spec: JobSpec,
-    /// When it was accepted, in milliseconds since 1970.
+    /// The time of acceptance, in milliseconds since 1970.
     pub accepted_unix_ms: u64,
 }
 
-/// How far a job is.
+/// The progress of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgressRecord {
-    /// Its id.
+    /// The id of the job.
     pub id: JobId,
-    /// How it stands.
+    /// The outcome.
     #[serde(default)]
     pub outcome: Outcome,
-    /// When it ended, in milliseconds since 1970.
+    /// The time at which the job ended, in milliseconds since 1970.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended_unix_ms: Option<u64>,
-    /// The times of its schedule before this one are done.
+    /// The number of leading occurrences of the schedule that are done.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub done_before: u32,
-    /// The other times of its schedule that were begun.
+    /// The progress of the later occurrences that have begun, by number.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub occurrences: BTreeMap<u32, OccurrenceProgress>,
 }
@@ -128,33 +129,35 @@
     *number == 0
 }
 
-/// How far one time of a job's schedule is.
+/// The progress of one occurrence of a job's schedule.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OccurrenceProgress {
-    /// Its steps, in order.
+    /// The progress of the steps, in order.
     pub steps: Vec<StepProgress>,
 }
 
-/// How far a step is.
+/// The progress of a step.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepProgress {
-    /// The tasks that are done, as bits of hexadecimal digits, the first task first.
+    /// The tasks that are done, as a bit set in hexadecimal digits: four tasks per digit, the first
+    /// task in the lowest bit of the first digit.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub done: String,
-    /// The runs of each task that failed.
+    /// The failed runs of each task.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub failed_runs: BTreeMap<u32, Vec<u32>>,
-    /// The workers that crashed under each task.
+    /// The crashes of workers that ran each task.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub crashes: BTreeMap<u32, TaskCrashes>,
 }
 
 impl StepProgress {
-    /// Packs the tasks that are done.
+    /// Returns the tasks that are done as a string of hexadecimal digits, empty if there are none.
     pub fn pack_done(done: impl Iterator<Item = bool>) -> String {
         let bits = done.collect::<Vec<_>>();
         let digit = |tasks: &[bool]| {
-            let value = tasks.iter().enumerate().map(|(at, &bit)| u32::from(bit) << at).sum();
+            let value =
+                tasks.iter().enumerate().map(|(position, &bit)| u32::from(bit) << position).sum();
             char::from_digit(value, 16).unwrap_or('0')
         };
         if bits.iter().any(|&bit| bit) {
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Whether a task is done.
+    /// Returns whether a task is done.
     pub fn is_done(&self, index: u32) -> bool {
         let digit = self.done.as_bytes().get((index / TASKS_PER_DIGIT) as usize);
         let value = digit.and_then(|&digit| char::from(digit).to_digit(16)).unwrap_or(0);
--- a/crates/kitetrail-core/src/jobs/report.rs
+++ b/crates/kitetrail-core/src/jobs/report.rs
@@ -1,61 +1,65 @@
-//! What a worker is asked in a hold, and what it reports.
+//! Holds and the workers' reports.
 
 use serde::{Deserialize, Serialize};
 
 use super::names::{Incarnation, TaskName};
 
-/// Asks a worker what it runs, and lets it go on.
+/// A request to a worker that renews its leases and asks for a report, which the worker may delay
+/// (long polling).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Hold {
-    /// The fencing token. Raising it voids orders with lower ones.
+    /// The fencing token. A higher token invalidates all orders with lower tokens.
     pub token: u64,
-    /// Until when all runs are leased, on the worker's clock; `None` leaves leases alone.
+    /// The new end of all leases, on the worker's clock in milliseconds; `None` leaves the leases
+    /// unchanged.
     pub lease_until_ms: Option<u64>,
-    /// Ends up to this number are kept for good and need not be sent again.
+    /// The number up to which run ends are acknowledged: they are durable and need not be reported
+    /// again.
     pub ends_kept: u64,
-    /// How long the worker may wait for an end before it answers, in milliseconds.
+    /// The maximum time that the worker may wait for the end of a run before it answers, in
+    /// milliseconds.
     pub wait_ms: u32,
 }
 
-/// Why a hold brought no report.
+/// Why there is no report for a hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HoldFailure {
     /// The worker has seen a higher fencing token.
     Fenced,
-    /// This life of the worker is over.
+    /// This worker instance is over.
     LifeOver,
-    /// It answered that it is not well.
+    /// The worker answered that it is unhealthy.
     Unhealthy,
-    /// Nothing came back.
+    /// No answer arrived.
     Unanswered,
 }
 
-/// What a worker says of itself.
+/// A worker's report about its runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// Which start of the worker under its id tells it, if the platform tells.
+    /// The incarnation that reports, if the platform says so.
     pub incarnation: Option<Incarnation>,
-    /// Its clock, in milliseconds.
+    /// The worker's clock, in milliseconds.
     pub clock_ms: u64,
-    /// What runs there.
+    /// The running tasks.
     pub running: Vec<RunningTask>,
-    /// What ended there and was not said to be kept, in order.
+    /// The ended runs that are not acknowledged, in order.
     pub ended: Vec<RunEnd>,
 }
 
-/// A run that a worker reports.
+/// A running task in a report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunningTask {
     /// The task.
     pub task: TaskName,
     /// The run.
     pub run: u32,
-    /// Where it could go on from, if anywhere.
+    /// The checkpoint that the task could continue from, if any.
     pub checkpoint: Option<String>,
-    /// How much of its work is done, in percent; 100 for a task that lasts and is at work.
+    /// The share of work that is done, in percent; 100 for a long-running task that is ready.
     pub percent: u32,
-    /// The tail of its answers' times in milliseconds if it serves, else the processor time it
-    /// uses in thousandths of a core; over the last half second.
+    /// The tail latency in milliseconds if the task is latency-critical, else the processor time in
+    /// thousandths of a core; measured over the last half second.
     pub gauge: Option<u32>,
 }
 
@@ -63,31 +67,31 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum HowEnded {
-    /// Its work is done.
+    /// The work is done.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// The run failed, because of the task or the worker.
     Failed,
-    /// It was told to stop.
+    /// The run was stopped by an order.
     Stopped,
-    /// Its lease ran out.
+    /// The lease expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of the gang ended.
     Broken,
-    /// The other members of its gang did not come in time.
+    /// The other members of the gang did not start in time.
     Alone,
 }
 
-/// An end that a worker reports.
+/// The end of a run in a report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunEnd {
-    /// Its number, counted from 1 in each life of the worker.
+    /// The number of the end, counted from 1 by each worker instance.
     pub number: u64,
     /// The task.
     pub task: TaskName,
     /// The run.
     pub run: u32,
-    /// How it ended.
+    /// How the run ended.
     pub how: HowEnded,
-    /// Where it could go on from, if anywhere.
+    /// The checkpoint that the task could continue from, if any.
     pub checkpoint: Option<String>,
 }
--- a/crates/kitetrail-core/src/jobs/run.rs
+++ b/crates/kitetrail-core/src/jobs/run.rs
@@ -1,4 +1,4 @@
-//! A run on a worker, as believed.
+//! A run on a worker, as far as the scheduler knows.
 
 use super::{
     scheduler::{filter::Estimate, tails::ImageNo},
@@ -6,38 +6,38 @@
 };
 use crate::{Resources, Time};
 
-/// The pace of a run that was told none, in percent of its speed.
+/// The pace of a run that is not throttled, in percent of full speed.
 pub(super) const FULL_PACE_PERCENT: u8 = 100;
-/// Stands for a pace that is not known. It differs from every pace, so the run is told anew.
+/// An unknown pace. It differs from every valid pace, so the scheduler sends the pace again.
 pub(super) const UNKNOWN_PACE_PERCENT: u8 = u8::MAX;
 
-/// A task that lasts is at work at this percent, as the platform defines it.
-const AT_WORK_PERCENT: u32 = 100;
+/// The percent at which a long-running task is ready, as the platform defines.
+const READY_PERCENT: u32 = 100;
 
-/// How far the order to start a run is.
+/// The state of the order that starts a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// The order is held back until it is kept that it leaves.
+    /// The order is held back until the intent to send it is stored.
     Unkept,
-    /// The order waits or is on its way.
+    /// The order is queued or was sent.
     Ordered,
-    /// The order was not answered: it may run, now or later.
+    /// The order was not answered: the run may have started, or may still start.
     Doubtful {
-        /// A report under this token or a higher one tells for good.
+        /// A report for this fencing token or a higher one shows for certain whether it runs.
         settled_by: u64,
     },
-    /// It runs, confirmed at the given moment.
+    /// The run was confirmed at this time.
     Running(Time),
 }
 
-/// How the percent of a run has risen.
+/// The progress of a run over time.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Progress {
-    /// Its percent when it was first heard of: above 0 if it went on from a checkpoint.
+    /// The percent in the first report: above 0 if the run continued from a checkpoint.
     pub(super) from_percent: u32,
-    /// The highest percent that was seen.
+    /// The highest percent reported so far.
     pub(super) percent: u32,
-    /// When it rose last, or the run began.
+    /// The time of the last increase, or of the start of the run.
     pub(super) rose_at: Time,
 }
 
@@ -47,45 +47,45 @@
     }
 }
 
-/// A run on a worker, as believed.
+/// A run on a worker, as far as the scheduler knows.
 #[derive(Debug, Clone)]
 pub(super) struct RunThere {
     pub(super) run: u32,
     pub(super) phase: Phase,
     pub(super) size: Resources,
-    /// It uses the processor time that others leave.
+    /// Whether the run is best-effort: it uses the processor time that other runs leave.
     pub(super) fills: bool,
-    /// It was told to stop.
+    /// Whether the run is ordered to stop.
     pub(super) stopping: bool,
-    /// An earlier owner started it: it had begun by then.
+    /// Whether an earlier owner started the run, so that it began before its confirmation here.
     pub(super) adopted: bool,
-    /// Workers crashed under its task.
+    /// Whether workers crashed while they ran this task.
     pub(super) suspected: bool,
-    /// Nothing is started beside it.
+    /// Whether no other run is started on the worker.
     pub(super) alone: bool,
     pub(super) keeps_progress: bool,
     pub(super) lasts: bool,
-    /// Given if it serves users.
+    /// The target of the tail latency, if the run is latency-critical.
     pub(super) tail_target_ms: Option<u64>,
     pub(super) image: ImageNo,
-    /// How much of its work is done, as reported last, in percent.
+    /// The share of work done in the last report, in percent.
     pub(super) percent: u32,
     pub(super) progress: Progress,
-    /// As reported last: the tail in milliseconds if it serves, else the processor time in use in
-    /// thousandths of a core.
+    /// The gauge in the last report: the tail latency in milliseconds if the run is
+    /// latency-critical, else the processor time in use, in thousandths of a core.
     pub(super) gauge: Option<u32>,
-    /// The share of its speed that it was last told, in percent.
+    /// The pace that was last ordered, in percent of full speed.
     pub(super) paced_percent: u8,
-    /// For a run that serves: the stress of its own load.
+    /// The estimated stress from its own load, for a latency-critical run.
     pub(super) own_stress: Estimate,
-    /// When its gauge was learned from.
+    /// The time at which its gauge was last used for learning.
     pub(super) learned_at: Option<Time>,
-    /// Since when every report shows its tail above its target.
+    /// The time since which every report has shown the tail latency above its target.
     pub(super) over_since: Option<Time>,
 }
 
 impl RunThere {
-    /// A run whose order to start has not left yet.
+    /// Creates a run whose start order has not been sent yet.
     pub(super) fn new(run: u32, spec: &StepSpec, image: ImageNo, now: Time) -> Self {
         Self {
             run,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Whether it serves users, so that its tail counts.
+    /// Returns whether the run is latency-critical.
     pub(super) fn serves(&self) -> bool {
         self.tail_target_ms.is_some()
     }
@@ -119,9 +119,9 @@
         matches!(self.phase, Phase::Running(_))
     }
 
-    /// Whether it is at work, as its worker said last, and was not told to stop.
+    /// Returns whether the run was ready in the worker's last report and is not ordered to stop.
     pub(super) fn is_at_work(&self) -> bool {
-        let started = !self.lasts || self.percent >= AT_WORK_PERCENT;
-        self.is_running() && !self.stopping && started
+        let ready = !self.lasts || self.percent >= READY_PERCENT;
+        self.is_running() && !self.stopping && ready
     }
 }
--- a/crates/kitetrail-core/src/jobs/spec.rs
+++ b/crates/kitetrail-core/src/jobs/spec.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for: jobs, their steps, and the terms of the queue that takes them.
+//! The specification of jobs and steps by callers, and the terms of queues.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -8,115 +8,121 @@
 use super::names::QueueName;
 use crate::Resources;
 
-/// The most steps of a job. No caller we know of has more than a dozen.
+/// The maximum number of steps of a job. Known callers use a dozen at most.
 pub const MAX_STEPS: usize = 256;
-/// The most tasks of a job, over all its steps. Bounds the memory that one job takes.
+/// The maximum number of tasks of a job, over all its steps. It bounds the memory that one job
+/// takes.
 pub const MAX_TASKS: u64 = 10_000;
-/// The longest payload, in bytes, as the interface for callers promises.
+/// The maximum length of a payload, in bytes, as documented in the callers' interface.
 pub const MAX_PAYLOAD_BYTES: usize = 4_000;
-/// The most times a schedule repeats: as many as a job has tasks at most.
+/// The maximum number of occurrences of a schedule: the same as the maximum number of tasks of a
+/// job.
 pub const MAX_OCCURRENCES: u32 = 10_000;
-/// The most tasks over all times of a schedule, which may all be due at once. Bounds the memory that
-/// one job takes to some 10 MB.
+/// The maximum number of tasks over all occurrences of a schedule, which may all be due at once. It
+/// bounds the memory that one job takes to about 10 MB.
 pub const MAX_SCHEDULED_TASKS: u64 = 100_000;
-/// The longest job, in bytes as it is kept: rows of the store hold 64 KiB, and the terms of its
-/// queue are kept with it.
+/// The maximum size of a stored job specification, in bytes. A row of the store holds 64 KiB, and
+/// the terms of the queue are stored in the same row.
 pub const MAX_JOB_BYTES: usize = 56 * 1_024;
 
-/// What is wrong with a job.
+/// Why a job is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum InvalidJob {
-    /// No steps at all.
+    /// The job has no steps.
     #[error("a job needs at least one step")]
     NoSteps,
-    /// Too many steps.
+    /// The job has too many steps.
     #[error("a job has at most {MAX_STEPS} steps, this one has {0}")]
     TooManySteps(usize),
-    /// A step without tasks.
+    /// A step has no tasks.
     #[error("step {0} has no tasks: give a count of 1 or more")]
     EmptyStep(usize),
-    /// Too many tasks.
+    /// The job has too many tasks.
     #[error("a job has at most {MAX_TASKS} tasks, this one has {0}")]
     TooManyTasks(u64),
-    /// A payload too long to keep.
-    #[error("the payload has {0} bytes, at most {MAX_PAYLOAD_BYTES} are kept")]
-    LongPayload(usize),
-    /// A step depends on one that does not exist.
-    #[error("step {step} depends on step {on}, which does not exist")]
-    UnknownStep {
-        /// The step.
+    /// The payload is too long.
+    #[error("a payload has at most {MAX_PAYLOAD_BYTES} bytes, this one has {0}")]
+    PayloadTooLong(usize),
+    /// A step depends on a step that does not exist.
+    #[error("step {step} depends on step {dependency}, which does not exist")]
+    UnknownDependency {
+        /// The dependent step.
         step: usize,
-        /// What it names.
-        on: u32,
+        /// The missing step.
+        dependency: u32,
     },
-    /// Steps wait for each other.
-    #[error("step {0} waits for itself, over its dependencies")]
-    Circle(usize),
-    /// Too many tasks over all times of the schedule.
-    #[error("a schedule has at most {MAX_SCHEDULED_TASKS} tasks over all its times, not {0}")]
+    /// The dependencies of the steps form a cycle.
+    #[error("step {0} can never start: its dependencies contain a cycle")]
+    DependencyCycle(usize),
+    /// The schedule has too many tasks over all its occurrences.
+    #[error(
+        "a schedule has at most {MAX_SCHEDULED_TASKS} tasks over all occurrences, this one has {0}"
+    )]
     TooManyScheduledTasks(u64),
-    /// Too long to keep.
-    #[error("a job takes at most {MAX_JOB_BYTES} bytes as it is kept, this one {0}: split it")]
+    /// The stored job would be too large.
+    #[error("a stored job has at most {MAX_JOB_BYTES} bytes, this one has {0}: split the job")]
     TooLong(usize),
-    /// A schedule that repeats too often.
-    #[error("a schedule has at most {MAX_OCCURRENCES} times, this one has {0}")]
-    TooManyTimes(u32),
+    /// The schedule has too many occurrences.
+    #[error("a schedule has at most {MAX_OCCURRENCES} occurrences, this one has {0}")]
+    TooManyOccurrences(u32),
 }
 
-/// A number of tasks that may run beside each other.
+/// A step of a job: tasks that may run in parallel.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StepSpec {
-    /// How many tasks.
+    /// The number of tasks.
     pub count: u32,
-    /// What each task takes.
+    /// The resources that each task takes.
     pub size: Resources,
-    /// The caller's guess of how long a task takes, in milliseconds. Often far off.
+    /// The caller's estimate of the run time of a task, in milliseconds. It is often far off.
     #[serde(skip_serializing_if = "is_default")]
     pub estimate_ms: u64,
-    /// Steps whose tasks must all be done first.
+    /// The steps whose tasks must all be done first.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub depends_on: Vec<u32>,
-    /// A stopped task can go on from where it was.
+    /// Whether a stopped task can continue from a checkpoint.
     #[serde(skip_serializing_if = "is_default")]
     pub keeps_progress: bool,
-    /// The tasks work only together.
+    /// Whether the tasks work only together: all members of the gang start together or none does.
     #[serde(skip_serializing_if = "is_default")]
     pub gang: bool,
-    /// The tasks work slower when spread over racks.
+    /// Whether the tasks are slower when they are spread over several racks.
     #[serde(skip_serializing_if = "is_default")]
     pub same_rack: bool,
-    /// A label that the worker must have.
+    /// The label that a worker must have.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub label: Option<String>,
-    /// The rack that holds the data; the task is slower elsewhere.
+    /// The rack that holds the data; the tasks are slower elsewhere.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub near_rack: Option<String>,
-    /// The most tasks of the step on one worker.
+    /// The maximum number of tasks of the step on one worker.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_per_worker: Option<u32>,
-    /// Several copies of one task may run beside each other.
+    /// Whether several copies of one task may run at the same time.
     #[serde(skip_serializing_if = "is_default")]
     pub copies_allowed: bool,
-    /// The tasks run until the job is cancelled.
+    /// Whether the tasks run until the job is cancelled.
     #[serde(skip_serializing_if = "is_default")]
     pub lasts: bool,
-    /// What the tasks run: tasks of one image behave alike.
+    /// The image that the tasks run. Tasks of one image behave alike.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub image: Option<String>,
-    /// The tasks serve users; the tail of their answers' times should stay below, in ms.
+    /// The target of the tail latency, in milliseconds, if the tasks serve users.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tail_target_ms: Option<u64>,
-    /// The tasks use the processor time that others leave; their share of it is not reserved.
+    /// Whether the tasks are best-effort: they use the processor time that others leave and have no
+    /// reservation of it.
     #[serde(skip_serializing_if = "is_default")]
     pub fills: bool,
-    /// How many tasks may be away at once by our doing.
+    /// The maximum number of tasks that may be unavailable at the same time because of the
+    /// scheduler's decisions.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub may_miss: Option<u32>,
 }
 
 impl StepSpec {
-    /// What its tasks ask of workers.
+    /// Returns the kind of work that the tasks are.
     pub fn kind(&self) -> WorkKind {
         match (self.lasts, self.fills) {
             (true, _) => WorkKind::Lasting,
@@ -126,14 +132,14 @@
     }
 }
 
-/// What a task asks of workers. Each kind waits for room of its own.
+/// The kind of work that a task is. Each kind needs other free resources of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkKind {
-    /// It reserves processor time and ends by itself.
+    /// The task reserves processor time and ends by itself.
     Short,
-    /// It uses the processor time that others leave, and ends by itself.
+    /// The task uses the processor time that others leave, and ends by itself.
     BestEffort,
-    /// It runs until its job is cancelled.
+    /// The task runs until its job is cancelled.
     Lasting,
 }
 
@@ -152,36 +158,36 @@
     }
 }
 
-/// Whether a field says nothing, so that it need not be kept.
+/// Returns whether a field has its default value, so that it is not stored.
 fn is_default<T: Default + PartialEq>(value: &T) -> bool {
     *value == T::default()
 }
 
-/// When a job repeats.
+/// The schedule of a job that repeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// When the first time is due, in milliseconds since 1970.
+    /// The time at which the first occurrence is due, in milliseconds since 1970.
     pub start_at_unix_ms: u64,
-    /// From one time to the next, in milliseconds.
+    /// The time from one occurrence to the next, in milliseconds.
     pub interval_ms: u64,
-    /// How many times.
+    /// The number of occurrences.
     pub count: u32,
 }
 
-/// A job as its caller handed it in.
+/// A job as submitted by its caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// What each task is told. Its meaning is the caller's.
+    /// The payload that is passed to each task. Only the caller interprets it.
     pub payload: String,
     /// The steps.
     pub steps: Vec<StepSpec>,
-    /// When the steps repeat, if they do.
+    /// The schedule, if the steps repeat.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub schedule: Option<Schedule>,
 }
 
 impl JobSpec {
-    /// Checks sizes and dependencies.
+    /// Checks the limits and the dependencies of the job.
     pub fn check(&self) -> Result<(), InvalidJob> {
         match self.steps.len() {
             0 => return Err(InvalidJob::NoSteps),
@@ -196,14 +202,14 @@
             return Err(InvalidJob::TooManyTasks(tasks));
         }
         if self.payload.len() > MAX_PAYLOAD_BYTES {
-            return Err(InvalidJob::LongPayload(self.payload.len()));
+            return Err(InvalidJob::PayloadTooLong(self.payload.len()));
         }
-        if let Some(schedule) = self.schedule.filter(|it| it.count > MAX_OCCURRENCES) {
-            return Err(InvalidJob::TooManyTimes(schedule.count));
+        if let Some(schedule) = self.schedule.filter(|schedule| schedule.count > MAX_OCCURRENCES) {
+            return Err(InvalidJob::TooManyOccurrences(schedule.count));
         }
-        let in_all = tasks * u64::from(self.occurrences());
-        if in_all > MAX_SCHEDULED_TASKS {
-            return Err(InvalidJob::TooManyScheduledTasks(in_all));
+        let scheduled = tasks * u64::from(self.occurrences());
+        if scheduled > MAX_SCHEDULED_TASKS {
+            return Err(InvalidJob::TooManyScheduledTasks(scheduled));
         }
         self.check_dependencies()?;
         match self.kept_bytes() {
@@ -212,74 +218,79 @@
         }
     }
 
-    /// How many bytes the job takes as it is kept.
+    /// Returns the size of the stored job specification, in bytes.
     pub fn kept_bytes(&self) -> usize {
-        // It holds texts and numbers alone, so it always serialises.
+        // The specification contains only strings and numbers, so serialisation can't fail.
         serde_json::to_vec(self).map_or(usize::MAX, |json| json.len())
     }
 
-    /// How many times the steps run.
+    /// Returns the number of times that the steps run.
     pub fn occurrences(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.count.max(1))
     }
 
-    /// The estimated time of the longest chain of steps, in milliseconds.
-    pub fn longest_chain_ms(&self) -> u64 {
-        self.longest_chain_by(|_, step| step.estimate_ms)
+    /// Returns the estimated length of the critical path, in milliseconds.
+    pub fn critical_path_ms(&self) -> u64 {
+        self.critical_path_by(|_, step| step.estimate_ms)
     }
 
-    /// The time of the longest chain of steps, each of which takes a given time, in milliseconds.
-    pub(super) fn longest_chain_by(&self, step_ms: impl Fn(usize, &StepSpec) -> u64) -> u64 {
-        let mut until_ms = vec![0_u64; self.steps.len()];
-        // Dependencies may point forward, so lengths are settled in as many rounds as steps.
+    /// Returns the length of the critical path through the steps, in milliseconds, for given times
+    /// of the steps.
+    pub(super) fn critical_path_by(&self, step_ms: impl Fn(usize, &StepSpec) -> u64) -> u64 {
+        let mut finish_ms = vec![0_u64; self.steps.len()];
+        // A step may depend on a later one, so it takes up to one round per step until the lengths
+        // are final.
         for _ in 0..self.steps.len() {
             for (number, step) in self.steps.iter().enumerate() {
-                let before = step.depends_on.iter().map(|&on| until_ms[on as usize]).max();
-                until_ms[number] = before.unwrap_or(0) + step_ms(number, step);
+                let start_ms =
+                    step.depends_on.iter().map(|&dependency| finish_ms[dependency as usize]).max();
+                finish_ms[number] = start_ms.unwrap_or(0) + step_ms(number, step);
             }
         }
-        until_ms.into_iter().max().unwrap_or(0)
+        finish_ms.into_iter().max().unwrap_or(0)
     }
 
     fn check_dependencies(&self) -> Result<(), InvalidJob> {
         for (step, spec) in self.steps.iter().enumerate() {
-            let unknown = spec.depends_on.iter().find(|&&on| on as usize >= self.steps.len());
-            if let Some(&on) = unknown {
-                return Err(InvalidJob::UnknownStep { step, on });
+            let unknown =
+                spec.depends_on.iter().find(|&&dependency| dependency as usize >= self.steps.len());
+            if let Some(&dependency) = unknown {
+                return Err(InvalidJob::UnknownDependency { step, dependency });
             }
         }
-        self.first_in_a_circle().map_or(Ok(()), |step| Err(InvalidJob::Circle(step)))
+        self.first_unresolvable_step().map_or(Ok(()), |step| Err(InvalidJob::DependencyCycle(step)))
     }
 
-    /// The first step that waits for itself. All dependencies must exist.
-    fn first_in_a_circle(&self) -> Option<usize> {
-        let mut settled = vec![false; self.steps.len()];
+    /// Returns the first step whose dependencies contain a cycle. All dependencies must exist.
+    fn first_unresolvable_step(&self) -> Option<usize> {
+        let mut resolved = vec![false; self.steps.len()];
         loop {
-            let can_settle = |number: &usize| {
+            let is_resolvable = |number: &usize| {
                 let step = &self.steps[*number];
-                !settled[*number] && step.depends_on.iter().all(|&on| settled[on as usize])
+                !resolved[*number]
+                    && step.depends_on.iter().all(|&dependency| resolved[dependency as usize])
             };
-            match (0..self.steps.len()).find(can_settle) {
-                Some(number) => settled[number] = true,
-                None => return settled.iter().position(|settled| !settled),
+            match (0..self.steps.len()).find(is_resolvable) {
+                Some(number) => resolved[number] = true,
+                None => return resolved.iter().position(|resolved| !resolved),
             }
         }
     }
 }
 
-/// What operators set for the jobs of a queue.
+/// The terms that operators set for the jobs of a queue.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QueueTerms {
-    /// The queue.
+    /// The name of the queue.
     pub name: QueueName,
-    /// The service whose workers run its tasks.
+    /// The service whose workers run the tasks.
     pub service: String,
-    /// Lower goes first.
+    /// The priority: queues with a lower number go first.
     pub priority: u32,
-    /// How often a task may fail before its job does.
+    /// The number of failed runs of a task at which its job fails.
     pub max_attempts: u32,
-    /// A job should take at most so many times its longest chain of work.
+    /// The factor by which the critical path of a job is multiplied for its time objective.
     pub stretch: f64,
-    /// And so many milliseconds more.
+    /// The time that is added to this product, in milliseconds.
     pub target_latency_ms: u64,
 }
--- a/crates/kitetrail-core/src/jobs/steps.rs
+++ b/crates/kitetrail-core/src/jobs/steps.rs
@@ -1,4 +1,4 @@
-//! The tasks of a job's steps: where they are and how far.
+//! The state of a job's steps and tasks: placements and progress.
 
 use std::{collections::BTreeSet, mem};
 
@@ -11,7 +11,7 @@
 };
 use crate::Time;
 
-/// Where a run of a task is.
+/// The placement of a run on a worker instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Placement {
     pub(super) life: LifeNo,
@@ -24,26 +24,27 @@
     pub(super) done: bool,
     pub(super) failed_runs: BTreeSet<u32>,
     pub(super) last_run: u32,
-    /// Where it is placed: more than one only where copies are allowed.
+    /// The current placements: more than one only if copies are allowed.
     pub(super) placed: Vec<Placement>,
     pub(super) checkpoint: Option<String>,
-    /// Not to be placed before, after a failure.
+    /// The time before which the task is not placed again, after a failure.
     pub(super) not_before: Option<Time>,
-    /// Where its last failed run was.
+    /// The worker instance of the last failed run.
     pub(super) avoid: Option<LifeNo>,
-    /// How often it was moved for being slow.
+    /// The number of times that the task was moved because it was slow.
     pub(super) slow_moves: u32,
-    /// The workers that crashed under it.
+    /// The crashes of workers that ran the task.
     pub(super) crashes: TaskCrashes,
-    /// Its starts are kept before they are ordered.
+    /// Whether each start of the task is stored before it is ordered.
     pub(super) watched: bool,
-    /// The owner before may have started it; this one has neither started it nor heard of a run.
+    /// Whether the previous owner may have started the task, while this one has neither started it
+    /// nor received a report of a run.
     pub(super) unaccounted: bool,
 }
 
 impl Task {
-    /// Takes note that it is started. `owner_lost`: the owner before may have started it on a worker that crashed, and was
-    /// lost before it could count that.
+    /// Records that the task is started. `owner_lost` is whether the previous owner was lost and
+    /// may have started the task on a worker that crashed, without counting the crash.
     pub(super) fn note_start(&mut self, owner_lost: bool) {
         if mem::take(&mut self.unaccounted) && owner_lost {
             self.watched = true;
@@ -51,19 +52,19 @@
         }
     }
 
-    /// Whether it waits for a worker.
+    /// Returns whether the task waits for a worker and may be placed now.
     pub(super) fn waits(&self, now: Time) -> bool {
-        !self.done && self.placed.is_empty() && self.not_before.is_none_or(|at| at <= now)
+        !self.done && self.placed.is_empty() && self.not_before.is_none_or(|time| time <= now)
     }
 }
 
-/// The tasks of one step at one time of the schedule.
+/// The tasks of one step in one occurrence of the schedule.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Step {
     pub(super) tasks: Vec<Task>,
-    /// How many tasks are done.
+    /// The number of tasks that are done.
     pub(super) done: u32,
-    /// Runs that did all of a task's work, and the time they took together.
+    /// The number of runs that did all the work of a task, and their total run time.
     pub(super) timed: u32,
     pub(super) timed_ms: u64,
 }
@@ -77,17 +78,18 @@
         self.done as usize == self.tasks.len()
     }
 
-    /// Whether a task is neither done nor placed.
-    pub(super) fn has_unplaced(&self) -> bool {
+    /// Returns whether a task is neither done nor placed.
+    pub(super) fn has_unplaced_tasks(&self) -> bool {
         self.tasks.iter().any(|task| !task.done && task.placed.is_empty())
     }
 
-    /// How many tasks are neither done nor placed.
+    /// Returns the number of tasks that are neither done nor placed.
     pub(super) fn unplaced(&self) -> u32 {
         self.tasks.iter().filter(|task| !task.done && task.placed.is_empty()).count() as u32
     }
 
-    /// Marks a task as done, or all members of a gang. Returns where what is done is still placed.
+    /// Marks a task as done, or all members of a gang. Returns the placements that these tasks
+    /// still have.
     pub(super) fn mark_done(&mut self, name: TaskName, gang: bool) -> Vec<Placement> {
         let mut placed = Vec::new();
         for (index, task) in (0..).zip(&mut self.tasks) {
@@ -100,7 +102,7 @@
         placed
     }
 
-    /// How far the step is, to be kept.
+    /// Returns the progress of the step, to be stored.
     pub(super) fn progress(&self) -> StepProgress {
         let failed = |(index, task): (u32, &Task)| {
             (!task.failed_runs.is_empty())
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Takes over how far the step was. Returns whether any task had begun.
+    /// Restores the stored progress. Returns whether any task had begun.
     pub(super) fn restore(&mut self, kept: &StepProgress) -> bool {
         let mut begun = false;
         for (index, task) in (0..).zip(&mut self.tasks) {
@@ -134,7 +136,7 @@
     }
 }
 
-/// One time of the schedule.
+/// One occurrence of the schedule.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Occurrence {
     pub(super) steps: Vec<Step>,
@@ -149,8 +151,8 @@
         self.steps.iter().all(Step::is_done)
     }
 
-    /// Whether all steps that `step` depends on are done.
+    /// Returns whether all steps that `step` depends on are done.
     pub(super) fn is_due(&self, step: &StepSpec) -> bool {
-        step.depends_on.iter().all(|&on| self.steps[on as usize].is_done())
+        step.depends_on.iter().all(|&dependency| self.steps[dependency as usize].is_done())
     }
 }
--- a/crates/kitetrail-core/src/jobs/worker_entry.rs
+++ b/crates/kitetrail-core/src/jobs/worker_entry.rs
@@ -1,37 +1,37 @@
-//! What a worker says of itself in the list of workers.
+//! An entry in the list of workers.
 
 use super::names::{Incarnation, LifeId, LifeKey};
 use crate::Resources;
 
-/// What a worker says of itself in the list of workers.
+/// An entry in the list of workers, as written by the worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerEntry {
-    /// This life of it.
+    /// The id of the worker.
     pub id: LifeId,
-    /// Which of its starts under this id wrote it, if the platform tells.
+    /// The incarnation that wrote the entry, if the platform reports it.
     pub incarnation: Option<Incarnation>,
-    /// The machine it lives on, if it names one.
+    /// The machine that the worker runs on, if given.
     pub machine: Option<String>,
-    /// The service whose tasks it runs.
+    /// The service whose tasks the worker runs.
     pub service: String,
-    /// Where it answers, as host and port.
+    /// The address of the worker, as host and port.
     pub address: String,
-    /// Its availability zone.
+    /// The availability zone of the worker.
     pub zone: String,
-    /// The rack it stands in, empty if it names none.
+    /// The rack of the worker, empty if not given.
     pub rack: String,
-    /// It is about to leave.
+    /// Whether the worker is about to leave.
     pub draining: bool,
-    /// While it drains: how long it stays at least, in milliseconds.
+    /// The minimum time until a draining worker leaves, in milliseconds.
     pub remaining_ms: Option<u64>,
-    /// What it has.
+    /// The capacity of the worker.
     pub capacity: Resources,
-    /// What steps may ask for.
+    /// The labels that steps may require.
     pub labels: Vec<String>,
 }
 
 impl WorkerEntry {
-    /// The incarnation of the worker that wrote it.
+    /// Returns the key of the worker instance that wrote the entry.
     pub fn key(&self) -> LifeKey {
         LifeKey { id: self.id.clone(), incarnation: self.incarnation }
     }
--- a/crates/kitetrail-core/tests/jobs.rs
+++ b/crates/kitetrail-core/tests/jobs.rs
@@ -393,8 +393,8 @@
     let unknown = vec![StepSpec { depends_on: vec![4], ..step(1) }];
     assert_eq!(job(Vec::new()).check(), Err(InvalidJob::NoSteps));
     assert_eq!(job(vec![step(0)]).check(), Err(InvalidJob::EmptyStep(0)));
-    assert_eq!(job(circle).check(), Err(InvalidJob::Circle(0)));
-    assert_eq!(job(unknown).check(), Err(InvalidJob::UnknownStep { step: 0, on: 4 }));
+    assert_eq!(job(circle).check(), Err(InvalidJob::DependencyCycle(0)));
+    assert_eq!(job(unknown).check(), Err(InvalidJob::UnknownDependency { step: 0, dependency: 4 }));
     assert_eq!(job(vec![step(20_000)]).check(), Err(InvalidJob::TooManyTasks(20_000)));
     assert_eq!(job(vec![step(2)]).check(), Ok(()));
 }
