--- a/crates/kitetrail-core/tests/jobs_cancelled.rs
+++ b/crates/kitetrail-core/tests/jobs_cancelled.rs
@@ -1,5 +1,4 @@
-//! Jobs that are cancelled, and starts of their tasks that are carried out late or were sent by an
-//! owner that was removed.
+//! Cancelled jobs, and starts of tasks that workers carry out late or that a removed owner sent.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 mod fleet;
@@ -9,64 +8,70 @@
 use fleet::{Mood, World, job, step, task};
 use kitetrail_core::jobs::{JobState, StepSpec};
 
-/// How long after a cancel, or a late start after one, a task may run on, in milliseconds.
-const GONE_WITHIN_MS: u64 = 3_000;
+/// The time by which a task must have stopped after a cancellation, or after a later start, in
+/// milliseconds.
+const STOPPED_WITHIN_MS: u64 = 3_000;
 
-/// A step of tasks that take far longer than any test.
-fn long(count: u32) -> StepSpec {
+/// Returns a step whose tasks run far longer than any test.
+fn long_running_step(count: u32) -> StepSpec {
     StepSpec { lasts: true, ..step(count) }
 }
 
-/// One worker on the way to which a start is, and which nothing else reaches: no higher token voids
-/// the start.
-fn start_under_way(late_ms: u64) -> World {
+/// Returns a fleet of one worker to which a delayed start is on its way. No other message reaches
+/// the worker, so that no higher token invalidates the start.
+fn world_with_delayed_start(late_ms: u64) -> World {
     let mut world = World::new(1);
     world.worker("w0").mood = Mood::Delayed;
     world.worker("w0").late_by = Duration::from_millis(late_ms);
-    world.submit(1, job(vec![long(1)]));
+    world.submit(1, job(vec![long_running_step(1)]));
     world.run_ms(50);
     world
 }
 
 #[test]
-fn a_start_carried_out_after_its_job_was_cancelled_is_stopped() {
-    let mut world = start_under_way(1_500);
+fn late_start_of_a_cancelled_job_is_stopped() {
+    let mut world = world_with_delayed_start(1_500);
     world.cancel(1);
-    world.run_until("it starts late", |world| !world.starts.is_empty());
+    world.run_until("the late start is carried out", |world| !world.starts.is_empty());
     assert_eq!(world.state(1), Some(JobState::Cancelled));
     world.worker("w0").mood = Mood::Well;
-    world.run_ms(GONE_WITHIN_MS);
-    assert!(world.where_runs(task(1, 0, 0)).is_empty(), "it runs on");
+    world.run_ms(STOPPED_WITHIN_MS);
+    assert!(world.where_runs(task(1, 0, 0)).is_empty(), "the task still runs");
 }
 
 #[test]
-fn a_start_that_is_voided_in_time_never_happens() {
-    let mut world = start_under_way(2_500);
+fn start_is_not_carried_out_after_the_token_was_raised() {
+    let mut world = world_with_delayed_start(2_500);
     world.cancel(1);
-    // The worker is heard under a raised token before the start is carried out.
+    // The worker sees a higher token before it would carry out the start.
     world.worker("w0").mood = Mood::Well;
     world.run_ms(6_000);
-    assert!(world.starts.is_empty(), "it was started though its job was cancelled");
+    assert!(world.starts.is_empty(), "the task was started although its job was cancelled");
 }
 
 #[test]
-fn a_stop_that_is_not_answered_is_sent_again() {
-    let mut world = start_under_way(1_500);
+fn unanswered_stop_is_sent_again() {
+    let mut world = world_with_delayed_start(1_500);
     world.cancel(1);
-    world.run_until("it starts late", |world| !world.starts.is_empty());
+    world.run_until("the late start is carried out", |world| !world.starts.is_empty());
     world.worker("w0").mood = Mood::Unstoppable;
     world.run_ms(1_000);
-    assert_eq!(world.where_runs(task(1, 0, 0)), ["w0"], "the stops are lost");
+    assert_eq!(
+        world.where_runs(task(1, 0, 0)),
+        ["w0"],
+        "the stop was carried out although stops are lost"
+    );
     world.worker("w0").mood = Mood::Well;
-    world.run_ms(GONE_WITHIN_MS);
-    assert!(world.where_runs(task(1, 0, 0)).is_empty(), "it runs on");
+    world.run_ms(STOPPED_WITHIN_MS);
+    assert!(world.where_runs(task(1, 0, 0)).is_empty(), "the task still runs");
 }
 
 #[test]
-fn a_start_of_a_removed_owner_is_stopped_by_the_next_one() {
-    // The job ends before the takeover, so the next owner knows of it that it ended; or after it.
+fn late_start_of_a_removed_owner_is_stopped_by_the_next_owner() {
+    // The job is cancelled before the takeover, so that the next owner finds it ended in the store,
+    // or after the takeover.
     for cancelled_first in [true, false] {
-        let mut world = start_under_way(1_500);
+        let mut world = world_with_delayed_start(1_500);
         if cancelled_first {
             world.cancel(1);
             world.run_ms(50);
@@ -75,47 +80,56 @@
         if !cancelled_first {
             world.cancel(1);
         }
-        world.run_until("it starts late", |world| !world.starts.is_empty());
+        world.run_until("the late start is carried out", |world| !world.starts.is_empty());
         world.worker("w0").mood = Mood::Well;
-        world.run_ms(GONE_WITHIN_MS);
+        world.run_ms(STOPPED_WITHIN_MS);
         let runs = world.where_runs(task(1, 0, 0));
-        assert!(runs.is_empty(), "it runs on, cancelled before the takeover: {cancelled_first}");
+        assert!(
+            runs.is_empty(),
+            "the task still runs, cancelled before the takeover: {cancelled_first}"
+        );
         assert_eq!(world.state(1), Some(JobState::Cancelled));
     }
 }
 
 #[test]
-fn a_start_of_a_removed_owner_is_void_once_the_next_one_was_heard() {
-    let mut world = start_under_way(2_500);
+fn late_start_of_a_removed_owner_is_void_after_the_worker_answered_the_next_owner() {
+    let mut world = world_with_delayed_start(2_500);
     world.cancel(1);
     world.run_ms(50);
     world.take_over(2, true);
-    // It answers the next owner while it is idle, and is then asked only every few seconds.
+    // The worker answers the next owner while it is idle. After that it gets a hold only every few
+    // seconds.
     world.worker("w0").mood = Mood::Well;
     world.run_ms(8_000);
-    assert!(world.starts.is_empty(), "a removed owner's start was carried out");
+    assert!(world.starts.is_empty(), "the start of a removed owner was carried out");
 }
 
 #[test]
-fn a_task_of_an_ended_job_that_an_owner_finds_is_stopped_though_stops_are_lost() {
+fn running_task_of_an_ended_job_is_stopped_by_a_new_owner_even_if_stops_are_lost() {
     let mut world = World::new(1);
-    world.submit(1, job(vec![long(1)]));
-    world.run_until("it runs", |world| !world.starts.is_empty());
+    world.submit(1, job(vec![long_running_step(1)]));
+    world.run_until("the task runs", |world| !world.starts.is_empty());
     world.worker("w0").mood = Mood::Cut;
     world.cancel(1);
     world.run_ms(50);
     world.take_over(2, true);
     world.worker("w0").mood = Mood::Unstoppable;
     world.run_ms(1_000);
-    assert_eq!(world.where_runs(task(1, 0, 0)), ["w0"], "the stops are lost");
+    assert_eq!(
+        world.where_runs(task(1, 0, 0)),
+        ["w0"],
+        "the stop was carried out although stops are lost"
+    );
     world.worker("w0").mood = Mood::Well;
-    world.run_ms(GONE_WITHIN_MS);
-    assert!(world.where_runs(task(1, 0, 0)).is_empty(), "it runs on");
+    world.run_ms(STOPPED_WITHIN_MS);
+    assert!(world.where_runs(task(1, 0, 0)).is_empty(), "the task still runs");
 }
 
 #[test]
-fn a_start_carried_out_late_does_not_run_a_task_that_is_done_again() {
-    // Within the lease that the start brought, and after it. The world panics if it runs twice.
+fn late_start_does_not_run_a_done_task_again() {
+    // The start is carried out within its lease, or after the lease. The simulated fleet panics if
+    // two runs overlap.
     for late_ms in [2_500, 6_000] {
         let mut world = World::new(2);
         world.work_ms = Some(500);
@@ -126,15 +140,15 @@
         world.submit(1, job(vec![step(1)]));
         world.run_ms(50);
         world.set_moods(Mood::Well);
-        world.run_until("it completes", |world| world.state(1) == Some(JobState::Completed));
+        world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
         world.run_ms(8_000);
-        assert_eq!(world.starts.len(), 1, "late by {late_ms} ms");
+        assert_eq!(world.starts.len(), 1, "start late by {late_ms} ms");
     }
 }
 
 #[test]
-fn a_task_whose_start_was_not_answered_waits_until_the_start_would_come_too_late() {
-    // The start reaches its worker before the lease that it brought is over, or after it.
+fn task_with_an_unanswered_start_waits_until_the_start_can_no_longer_be_carried_out() {
+    // The start reaches its worker before its lease has expired, or after that.
     for (late_ms, starts) in [(3_000, 2), (8_000, 1)] {
         let mut world = World::new(2);
         world.work_ms = Some(500);
@@ -144,16 +158,17 @@
         }
         world.submit(1, job(vec![step(1)]));
         world.run_ms(50);
-        // The worker that has the start stays cut off. The world panics if the task runs twice.
-        let late = world.workers.iter().find(|(_, worker)| worker.has_late_orders());
-        let late = late.map(|(id, _)| id.clone()).unwrap();
+        // The worker with the late start stays cut off. The simulated fleet panics if two runs
+        // overlap.
+        let late_worker = world.workers.iter().find(|(_, worker)| worker.has_late_orders());
+        let late_worker = late_worker.map(|(id, _)| id.clone()).unwrap();
         world.set_moods(Mood::Well);
-        world.worker(&late).mood = Mood::Cut;
-        world.run_until("it completes", |world| world.state(1) == Some(JobState::Completed));
+        world.worker(&late_worker).mood = Mood::Cut;
+        world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
         let completed_at = world.now;
         world.run_ms(10_000);
-        assert_eq!(world.starts.len(), starts, "late by {late_ms} ms");
+        assert_eq!(world.starts.len(), starts, "start late by {late_ms} ms");
         let last = world.starts.last().unwrap().0;
-        assert!(last < completed_at, "it ran again after its end was kept");
+        assert!(last < completed_at, "the task ran again after its end was stored");
     }
 }
