--- a/crates/kitetrail-core/src/jobs/crashes.rs
+++ b/crates/kitetrail-core/src/jobs/crashes.rs
@@ -14,10 +14,10 @@
 /// The total weight at which the task counts as the cause and is not started again: three immediate
 /// crashes, four others, or five after unconfirmed starts. The platform tolerates five crashes, two
 /// of them after the third.
-const MAX_WEIGHT: u32 = 60;
+const WEIGHT_LIMIT: u32 = 60;
 /// The same limit after the loss of an owner that may have known of one more crash, or of two if it
 /// had started a copy.
-const MAX_WEIGHT_AFTER_OWNER_LOSS: u32 = 45;
+const WEIGHT_LIMIT_AFTER_OWNER_LOSS: u32 = 45;
 /// The number of crashes in a row, one of them immediate, after which the task starts without its
 /// checkpoint, since the checkpoint may be the cause. One or two attempts are left then.
 const CRASHES_TO_DROP_CHECKPOINT: usize = 2;
@@ -37,7 +37,7 @@
 /// How strongly a crash suggests that a task on the worker caused it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashEvidence {
-    /// The worker fell silent right after the task had started on it.
+    /// The worker stopped answering right after the task had started on it.
     FellAtOnce,
     /// The same, but other workers crashed at that moment too.
     OthersFell,
@@ -155,7 +155,8 @@
     /// Returns whether the task counts as the cause of the crashes, so that it is not started
     /// again.
     pub fn is_given_up(&self) -> bool {
-        let max_weight = if self.may_miss_some { MAX_WEIGHT_AFTER_OWNER_LOSS } else { MAX_WEIGHT };
+        let max_weight =
+            if self.may_miss_some { WEIGHT_LIMIT_AFTER_OWNER_LOSS } else { WEIGHT_LIMIT };
         self.weight >= max_weight
     }
 
@@ -165,8 +166,8 @@
         !self.workers.is_empty() && ran_ms >= last_run_ms + CLEARED_AFTER_MS
     }
 
-    /// Counts a crash. If the run time differs from that of the crashes before, the count starts
-    /// anew.
+    /// Counts a crash. If the run time differs from that of the crashes before, the count
+    /// restarts.
     pub fn note(&mut self, life: &LifeKey, evidence: CrashEvidence, ran: Option<RanFor>) {
         let differs = |(last, ran): (RanFor, RanFor)| !last.is_similar(ran);
         if self.ran.zip(ran).is_some_and(differs) {
--- a/crates/kitetrail-core/src/jobs/life.rs
+++ b/crates/kitetrail-core/src/jobs/life.rs
@@ -112,8 +112,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SentOrder {
     pub(super) at: Time,
-    /// Whether the order starts a run. The worker may then report the end of a run that the
-    /// scheduler does not know.
+    /// Whether the order starts a run, so that the worker may soon report a new run end.
     pub(super) starts: bool,
 }
 
@@ -176,7 +175,7 @@
     /// The fencing token of the next order.
     pub(super) token: u64,
     runs: BTreeMap<TaskName, RunThere>,
-    /// The free resources; `None` if they must be computed anew.
+    /// The free resources; `None` if they must be computed again.
     pub(super) room: Option<Room>,
     /// The orders that wait until the sent one is answered.
     pub(super) orders: VecDeque<Order>,
@@ -194,7 +193,7 @@
     pub(super) silent_since: Option<Time>,
     /// Whether its machine crashed recently.
     pub(super) fell_of_late: bool,
-    /// The runs that may have crashed it and were given up since.
+    /// The runs that may have crashed it and that the scheduler has since abandoned.
     pub(super) suspects: Vec<Suspect>,
     /// The tasks that the previous owner was about to start here with a stored start, since they
     /// may crash their worker.
@@ -299,7 +298,7 @@
     }
 
     /// Returns whether the worker is about to leave: it is draining, or its entry was removed for
-    /// certain and it still answers.
+    /// good and it still answers.
     pub(super) fn is_leaving(&self, now: Time) -> bool {
         match self.listing {
             _ if self.entry.draining => true,
@@ -350,7 +349,7 @@
 
     /// Returns the number of the last run end that a hold may acknowledge. Returns 0 if there is
     /// nothing new to acknowledge, or the hold may reach a later instance: that one numbers its
-    /// ends anew and would drop ends that were never received.
+    /// ends from 1 and would drop ends that were never received.
     pub(super) fn ends_to_tell(&self) -> u64 {
         let is_sure = self.known && self.silent == 0 && !self.contested;
         if is_sure && self.ends_kept > self.ends_told { self.ends_kept } else { 0 }
@@ -362,7 +361,7 @@
     }
 
     /// Returns a run for updates of its state. Its size must not change, since the free resources
-    /// are not computed anew.
+    /// are not computed again.
     pub(super) fn run_mut(&mut self, task: TaskName, run: u32) -> Option<&mut RunThere> {
         self.runs.get_mut(&task).filter(|known| known.run == run)
     }
--- a/crates/kitetrail-core/src/jobs/note.rs
+++ b/crates/kitetrail-core/src/jobs/note.rs
@@ -87,8 +87,7 @@
         /// The number of runs that the previous incarnation should have been running.
         runs: u32,
     },
-    /// A run was given up, since the worker instance that it was placed on can no longer be running
-    /// it.
+    /// A run was lost: the worker instance that it was placed on can no longer be running it.
     RunGivenUp {
         /// The task.
         task: TaskName,
--- a/crates/kitetrail-core/src/jobs/record.rs
+++ b/crates/kitetrail-core/src/jobs/record.rs
@@ -48,7 +48,7 @@
 }
 
 /// The learned interference between images, stored so that a new owner does not have to learn it
-/// anew.
+/// again.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct EffectsRecord {
     /// The entries of all latency-critical images.
@@ -81,7 +81,7 @@
     pub address: String,
     /// The service whose tasks it runs.
     pub service: String,
-    /// Whether the instance stopped answering and gets no lease until this row is written anew.
+    /// Whether the instance stopped answering and gets no lease until this row is rewritten.
     #[serde(default)]
     pub not_leased: bool,
 }
--- a/crates/kitetrail-core/tests/jobs_cancelled.rs
+++ b/crates/kitetrail-core/tests/jobs_cancelled.rs
@@ -17,7 +17,7 @@
     StepSpec { lasts: true, ..step(count) }
 }
 
-/// Returns a fleet of one worker to which a delayed start is on its way. No other message reaches
+/// Returns a fleet of one worker with a delayed start in transit. No other message reaches
 /// the worker, so that no higher token invalidates the start.
 fn world_with_delayed_start(late_ms: u64) -> World {
     let mut world = World::new(1);
--- a/crates/kitetrail-core/tests/jobs_incarnations.rs
+++ b/crates/kitetrail-core/tests/jobs_incarnations.rs
@@ -105,7 +105,7 @@
         world.work_ms = Some(4_000);
         world.submit(1, job(vec![step(1)]));
         world.run_ms(500);
-        // The worker crashes while its answer is on its way.
+        // The worker crashes while its answer is in transit.
         let (life, hold, sent_at) = world.worker("w0").held.take().unwrap();
         let report = Report {
             incarnation: None,
