--- a/crates/kitetrail-core/src/jobs/scheduler/commit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/commit.rs
@@ -1,4 +1,5 @@
-//! Group commit: what must outlast every box is sent to the store one batch at a time.
+//! Implements group commit: records that must survive the loss of all boxes go to the store one
+//! batch at a time.
 
 use std::{mem, time::Duration};
 
@@ -15,23 +16,23 @@
     pending::{Batch, Taken},
 };
 
-/// How long ends of runs may wait for others before they are kept. Workers keep them meanwhile.
-const GATHER: Duration = Duration::from_millis(100);
-/// How often what was learned of images is kept, beside what must be. It is learned anew within
-/// some ten seconds.
-const KEEP_EFFECTS_EVERY: Duration = Duration::from_millis(3_000);
+/// The longest time that ends of runs wait to share a batch. Workers retain them meanwhile.
+const BATCH_DELAY: Duration = Duration::from_millis(100);
+/// The interval at which learned image interference is persisted along with required records. It
+/// can be relearned within about ten seconds.
+const EFFECTS_PERSIST_INTERVAL: Duration = Duration::from_millis(3_000);
 
 impl Scheduler {
-    /// Sends a batch if none is on its way and it is time.
+    /// Sends a batch if one is due and none is in flight.
     pub(super) fn commit_if_due(&mut self) {
         if self.pending.sent.is_some() {
             return;
         }
         if self.pending.is_empty() {
             // Ends that changed nothing need no record.
-            self.note_kept_ends();
+            self.acknowledge_persisted_ends();
         }
-        let gathered = self.now.since(self.pending.last_sent_at) >= GATHER;
+        let gathered = self.now.since(self.pending.last_sent_at) >= BATCH_DELAY;
         if self.pending.confirmation_wanted
             || !self.pending.is_empty() && (self.pending.urgent || gathered)
         {
@@ -39,22 +40,22 @@
         }
     }
 
-    /// Takes note that a batch is kept.
-    pub(super) fn committed(&mut self, number: u64) {
+    /// Handles the confirmation that a batch is persisted.
+    pub(super) fn handle_committed(&mut self, number: u64) {
         let Some(batch) = self.pending.take_sent(number, self.now) else { return };
         for &id in &batch.new_jobs {
-            self.note_kept(id);
+            self.mark_job_persisted(id);
         }
         for (id, outcome) in batch.outcomes {
             if outcome != Outcome::Open {
-                self.note_end_kept(id);
+                self.finish_persisted_job(id);
             }
         }
         for no in batch.lives {
-            self.note_life_kept(no);
+            self.mark_life_persisted(no);
         }
-        self.order_kept(batch.starts);
-        self.note_kept_ends();
+        self.send_persisted_starts(batch.starts);
+        self.acknowledge_persisted_ends();
         if !batch.new_jobs.is_empty() && self.overload.starts_per_pass() > 0 {
             let mut pass = self.begin_pass();
             batch.new_jobs.into_iter().for_each(|id| self.place_job(id, &mut pass));
@@ -62,8 +63,8 @@
         self.replan = true;
     }
 
-    /// Workers may be told of the ends of which all that they changed is kept.
-    fn note_kept_ends(&mut self) {
+    /// Allows acknowledging the ends of runs whose changes are all persisted.
+    fn acknowledge_persisted_ends(&mut self) {
         for end in self.pending.take_kept_ends() {
             if let Some(life) = self.lives.get_mut(end.life) {
                 life.ends_kept = life.ends_kept.max(end.number);
@@ -71,7 +72,7 @@
         }
     }
 
-    fn note_kept(&mut self, id: JobId) {
+    fn mark_job_persisted(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.kept = true;
         let waiters = mem::take(&mut job.submit_waiters);
@@ -79,25 +80,25 @@
         self.out.extend(waiters.into_iter().map(answer));
     }
 
-    /// The end of a job is kept: of the job no more than that is needed from now on.
-    fn note_end_kept(&mut self, id: JobId) {
+    /// Drops a job whose end is persisted; only its outcome is needed from now on.
+    fn finish_persisted_job(&mut self, id: JobId) {
         let Some(mut job) = self.jobs.remove(&id) else { return };
-        // Handed in and cancelled, and its end was kept before it was.
+        // The job was submitted and cancelled, and its end was persisted before its submission was.
         let submitted = mem::take(&mut job.submit_waiters).into_iter();
         let accepted = |request| Action::AnswerSubmit(request, SubmitAnswer::Accepted);
         self.out.extend(submitted.map(accepted));
         let answer = |request| Action::AnswerCancel(request, CancelAnswer::Done);
         self.out.extend(job.cancel_waiters.into_iter().map(answer));
-        self.insert_ended(id, job.outcome, job.ended_unix_ms);
+        self.record_ended_job(id, job.outcome, job.ended_unix_ms);
     }
 
     fn send_batch(&mut self) {
         let kept_bytes = |id: JobId| self.jobs.get(&id).map_or(0, |job| job.spec.kept_bytes());
         let has_ended = |id: JobId| self.jobs.get(&id).is_some_and(|job| !job.is_open());
         let taken = self.pending.take_batch(kept_bytes, has_ended);
-        self.note_lives_sent(&taken.lives);
+        self.mark_lives_sent(&taken.lives);
         let mut records = self.records(&taken);
-        if self.now.since(self.pending.effects_at) >= KEEP_EFFECTS_EVERY {
+        if self.now.since(self.pending.effects_at) >= EFFECTS_PERSIST_INTERVAL {
             self.pending.effects_at = self.now;
             records.push(Record::Effects(self.tails.export()));
         }
@@ -112,7 +113,7 @@
         self.out.push(Action::Commit { batch, records });
     }
 
-    /// What a batch keeps, as rows of the store.
+    /// Returns the store records of a batch.
     fn records(&self, taken: &Taken) -> Vec<Record> {
         let job = |id: &JobId| self.jobs.get(id);
         let used = |life: &LifeNo| {
@@ -121,7 +122,7 @@
             let not_leased = life.sent_not_leased;
             Some(Record::LifeUsed(LifeRecord { id, incarnation, address, service, not_leased }))
         };
-        // Of one that ended meanwhile the progress alone is kept.
+        // For a job that has already ended, only its progress is persisted.
         let new_jobs = taken.new_jobs.iter().filter_map(job).filter(|job| job.is_open());
         let progress = taken.progress.iter().filter_map(job);
         let dropped = progress.clone().filter(|job| job.kept && !job.is_open()).map(|job| job.id);
--- a/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
@@ -1,8 +1,9 @@
-//! What the crash of a worker says of the tasks that ran there, and which of them are given up.
+//! Attributes worker crashes to tasks and fails the jobs of tasks that keep crashing workers.
 //!
-//! Answers a load in which some tasks crash each worker that starts them. A crash takes all runs of its worker with it, and
-//! nothing is reported, so such a task would be started for ever. Who did it is told apart by what had just been started, by how long
-//! runs had run each time, and by running suspects alone.
+//! Some tasks crash every worker that starts them. A crash ends all runs on the worker without any
+//! report, so such a task would be restarted forever. The cause is identified from which runs had
+//! just started, from how long runs had lasted before each crash, and by running suspects in
+//! isolation.
 
 use std::{mem, time::Duration};
 
@@ -20,66 +21,71 @@
 };
 use crate::Time;
 
-/// A run that is not known to have run for longer may have crashed its worker by its start: answers that tell of a sound start
-/// come 100 ms after it, later from an owner that lags.
-const JUST_STARTED: Duration = Duration::from_millis(500);
-/// A worker that falls silent within so long of a start may have been crashed by it. A worker that crashes by itself every 30 s
-/// does so in this time after one start in a hundred.
-const AT_ONCE: Duration = Duration::from_millis(300);
-/// A suspect that is known to have run for so long lets others run beside it again.
-const ALONE_FOR: Duration = Duration::from_millis(1_000);
-/// The pause before the next start, after the first crash; it doubles with each. Short: a worker that crashed is noticed after
-/// 3 s, and jobs that wait for 3 s beside room for them count as lost.
-const CRASH_PAUSE: Duration = Duration::from_millis(200);
-/// Workers that fall silent within so long of each other fell together.
-const TOGETHER: Duration = Duration::from_millis(1_000);
-/// Where more others than this fall together with a worker, a rack, a zone or a wave may be the cause, and no task of its own.
-const MOST_TOGETHER: usize = 2;
-/// How long a machine is remembered for having crashed. Longer than the pauses of workers that go down and up by turns.
-const REMEMBERED_FOR: Duration = Duration::from_millis(20_000);
+/// A run not confirmed to have lasted longer than this may have crashed its worker on starting.
+/// Answers that confirm a successful start arrive 100 ms after it, or later if the owner lags.
+const RECENT_START_WINDOW: Duration = Duration::from_millis(500);
+/// A worker that falls silent this soon after a start may have been crashed by that start. For a
+/// worker that crashes on its own every 30 s, one start in a hundred falls into this window.
+const IMMEDIATE_CRASH_WINDOW: Duration = Duration::from_millis(300);
+/// How long a suspect must have run before other runs may be placed beside it again.
+const ISOLATION_PERIOD: Duration = Duration::from_millis(1_000);
+/// The pause before the next start after the first crash; it doubles with each further crash. It is
+/// short because crashes are detected after 3 s, and jobs that wait 3 s while there is room for
+/// them count as lost.
+const CRASH_BACKOFF: Duration = Duration::from_millis(200);
+/// Workers that fall silent within this time of each other are considered lost together.
+const SIMULTANEOUS_LOSS_WINDOW: Duration = Duration::from_millis(1_000);
+/// The most other workers that may be lost together with one before a rack, zone or fleet-wide
+/// failure is suspected instead of a task.
+const MAX_INDEPENDENT_LOSSES: usize = 2;
+/// How long a lost worker is remembered. It exceeds the downtime of workers that repeatedly fail
+/// and recover.
+const LOST_WORKER_RETENTION: Duration = Duration::from_millis(20_000);
 
 /// A run that may have crashed its worker.
 #[derive(Debug, Clone)]
 pub(in crate::jobs) struct Suspect {
     task: TaskName,
     evidence: CrashEvidence,
-    /// Unknown if an earlier owner started it.
+    /// The duration of the run; unknown if an earlier owner started it.
     ran: Option<RanFor>,
 }
 
 impl Suspect {
-    /// A task that an earlier owner was about to start there, as it kept.
-    pub(super) fn begun(task: TaskName) -> Self {
+    /// Creates a suspect for a task that an earlier owner recorded as about to start on the worker.
+    pub(super) fn from_recorded_start(task: TaskName) -> Self {
         Self { task, evidence: CrashEvidence::FellAtOnce, ran: None }
     }
 }
 
-/// A worker that fell silent and whose life is over.
+/// A worker that fell silent and whose incarnation has ended.
 #[derive(Debug)]
-pub(super) struct Fallen {
+pub(super) struct LostWorker {
     at: Time,
     worker: LifeId,
     address: String,
-    /// The highest fencing token that it was sent, or was to be.
+    /// The highest fencing token sent, or about to be sent, to the worker.
     token: u64,
 }
 
 impl Scheduler {
-    /// The runs that may have crashed a worker whose life is over. None if it did not crash.
+    /// Returns the runs that may have crashed a worker whose incarnation ended; empty if it did not
+    /// crash.
     pub(super) fn crash_suspects(&self, no: LifeNo, end: LifeEnd) -> Vec<Suspect> {
         let Some(life) = self.lives.get(no).filter(|life| !life.entry.draining) else {
             return Vec::new();
         };
-        let begun = life.begun_before.iter().copied().map(Suspect::begun);
-        let mut suspects = begun.chain(life.suspects.iter().cloned()).collect::<Vec<_>>();
+        let recorded = life.begun_before.iter().copied().map(Suspect::from_recorded_start);
+        let mut suspects = recorded.chain(life.suspects.iter().cloned()).collect::<Vec<_>>();
         suspects.extend(suspects_among(life, self.now));
-        let together = self.fell_together(life);
-        // A worker that left, that is only cut off, or that fell with others says nothing of what had run there for a while.
-        let tells_of_all = end != LifeEnd::Gone
+        let together = self.lost_with_others(life);
+        // If the worker left, is only unreachable, or was lost together with others, runs that had
+        // lasted a while are not implicated.
+        let implicates_all = end != LifeEnd::Gone
             && !matches!(life.listing, Listing::Gone { .. })
             && !life.zone_evacuated
             && !together;
-        suspects.retain(|suspect| tells_of_all || suspect.evidence != CrashEvidence::RanThere);
+        suspects.retain(|suspect| implicates_all || suspect.evidence != CrashEvidence::RanThere);
         for suspect in &mut suspects {
             if together && suspect.evidence == CrashEvidence::FellAtOnce {
                 suspect.evidence = CrashEvidence::OthersFell;
@@ -88,15 +94,17 @@
         suspects
     }
 
-    /// Gives up the runs of a worker that is silent and whose lease is over.
+    /// Drops the runs of a silent worker whose lease has expired.
     ///
-    /// Whether it crashed shows once another life answers or its entry has lapsed. Tasks whose starts are kept since they may
-    /// crash workers don't wait for that: a worker may take longer to be back than two more tries.
-    pub(super) fn give_up_silent(&mut self, no: LifeNo) {
+    /// A crash is confirmed only once another incarnation answers or the worker's entry has
+    /// expired. Tasks whose starts are persisted as possible crash causes don't wait for that: a
+    /// worker may take longer to return than two more attempts.
+    pub(super) fn drop_runs_of_silent_worker(&mut self, no: LifeNo) {
         let Some(life) = self.lives.get_mut(no) else { return };
         let worker = life.entry.key();
-        let begun = mem::take(&mut life.begun_before).into_iter().map(Suspect::begun);
-        let suspects = begun.chain(suspects_among(life, self.now)).collect::<Vec<_>>();
+        let recorded =
+            mem::take(&mut life.begun_before).into_iter().map(Suspect::from_recorded_start);
+        let suspects = recorded.chain(suspects_among(life, self.now)).collect::<Vec<_>>();
         let is_watched = |suspect: &Suspect| {
             let job = self.jobs.get(&suspect.task.job);
             job.and_then(|job| job.task(suspect.task)).is_some_and(|task| task.watched)
@@ -105,12 +113,13 @@
         if let Some(life) = self.lives.get_mut(no) {
             life.suspects.extend(others);
         }
-        self.give_up_runs(no, "its worker is silent and its lease is over");
-        self.note_crash(&worker, watched);
+        self.drop_all_runs(no, "its worker is silent and its lease has expired");
+        self.record_crash(&worker, watched);
     }
 
-    /// Counts a crash against the tasks that may have caused it. Called once the runs of that life are given up.
-    pub(super) fn note_crash(&mut self, worker: &LifeKey, suspects: Vec<Suspect>) {
+    /// Counts a crash against the tasks that may have caused it. Must be called after the runs of
+    /// that incarnation were dropped.
+    pub(super) fn record_crash(&mut self, worker: &LifeKey, suspects: Vec<Suspect>) {
         for suspect in suspects {
             self.count_crash(worker, &suspect);
         }
@@ -125,7 +134,7 @@
         task.watched = true;
         let crashes = task.crashes.workers.len() as u32;
         if task.crashes.runs_alone() {
-            task.not_before = Some(now + CRASH_PAUSE * 2_u32.pow(crashes - 1));
+            task.not_before = Some(now + CRASH_BACKOFF * 2_u32.pow(crashes - 1));
         }
         let given_up = task.crashes.is_given_up();
         if task.crashes.drops_checkpoint() {
@@ -139,36 +148,37 @@
         }));
         self.pending.note(name.job);
         if given_up {
-            self.give_up_crashing(name);
+            self.fail_crashing_job(name);
         }
     }
 
-    /// Gives a job up for a task that crashes workers.
-    fn give_up_crashing(&mut self, name: TaskName) {
+    /// Fails a job because one of its tasks crashes workers.
+    fn fail_crashing_job(&mut self, name: TaskName) {
         let task = self.task_mut(name);
         let workers = task.map(|task| task.crashes.workers.clone()).unwrap_or_default();
         self.out.push(Action::Note(Note::CrashingTaskGivenUp { task: name, workers }));
         self.end_job(name.job, Outcome::Failed);
     }
 
-    /// Looks at the suspects that a worker reports: those that run on may have others beside them, then are none any more.
+    /// Checks the suspects that a worker reports as running. After a while others may run beside
+    /// them, and later they are cleared.
     pub(super) fn check_suspects(&mut self, no: LifeNo) {
         let Some(life) = self.lives.get(no) else { return };
         let suspects = life.runs().iter().filter(|(_, run)| run.suspected);
-        let known =
+        let confirmed =
             suspects.filter_map(|(&task, run)| Some((task, run.run, life.known_to_run(run)?)));
-        for (task, run, ran) in known.collect::<Vec<_>>() {
+        for (task, run, ran) in confirmed.collect::<Vec<_>>() {
             let cleared = self.clear_suspect(task, ran);
             let Some(life) = self.lives.get_mut(no) else { return };
-            let Some(there) = life.run_mut(task, run) else { continue };
-            there.suspected &= !cleared;
-            there.alone &= ran < ALONE_FOR && !cleared;
+            let Some(reported_run) = life.run_mut(task, run) else { continue };
+            reported_run.suspected &= !cleared;
+            reported_run.alone &= ran < ISOLATION_PERIOD && !cleared;
             life.room = None;
             self.replan = true;
         }
     }
 
-    /// Forgets the crashes of a task that has run for so long; whether it did.
+    /// Clears the crashes of a task that has run long enough, and returns whether it did.
     fn clear_suspect(&mut self, name: TaskName, ran: Duration) -> bool {
         let Some(task) = self.task_mut(name) else { return false };
         if !task.crashes.is_cleared_by(ran.as_millis() as u64) {
@@ -180,49 +190,55 @@
         true
     }
 
-    /// Whether some other workers fell silent about when this one did.
-    fn fell_together(&self, life: &Life) -> bool {
+    /// Returns whether several other workers fell silent at about the same time as this one.
+    fn lost_with_others(&self, life: &Life) -> bool {
         let fell_at = life.silent_since.unwrap_or(self.now);
-        let together = |at: Time| at.since(fell_at) < TOGETHER && fell_at.since(at) < TOGETHER;
+        let together = |at: Time| {
+            at.since(fell_at) < SIMULTANEOUS_LOSS_WINDOW
+                && fell_at.since(at) < SIMULTANEOUS_LOSS_WINDOW
+        };
         let others = self.lives.values().filter(|other| other.id() != life.id());
         let silent = others.filter_map(|other| other.silent_since).filter(|&at| together(at));
-        let over = self.fallen.iter().filter(|fallen| together(fallen.at));
-        silent.count() + over.count() > MOST_TOGETHER
+        let over = self.lost_workers.iter().filter(|lost| together(lost.at));
+        silent.count() + over.count() > MAX_INDEPENDENT_LOSSES
     }
 
-    /// Remembers a worker whose life is over, for those that fell with it and for those that come after it.
-    pub(super) fn note_fallen(&mut self, life: &Life) {
+    /// Records a lost worker, to detect simultaneous losses and for its later incarnations.
+    pub(super) fn record_lost_worker(&mut self, life: &Life) {
         let now = self.now;
-        self.fallen.retain(|fallen| now.since(fallen.at) < REMEMBERED_FOR);
+        self.lost_workers.retain(|lost| now.since(lost.at) < LOST_WORKER_RETENTION);
         let at = life.silent_since.unwrap_or(now);
         let (worker, address) = (life.id().clone(), life.entry.address.clone());
-        self.fallen.push(Fallen { at, worker, address, token: life.token });
+        self.lost_workers.push(LostWorker { at, worker, address, token: life.token });
     }
 
-    /// The highest fencing token of a worker's lives that are over of late.
-    pub(super) fn token_of_fallen(&self, worker: &LifeId) -> Option<u64> {
-        let lives = self.fallen.iter().filter(|fallen| fallen.worker == *worker);
-        lives.map(|fallen| fallen.token).max()
+    /// Returns the highest fencing token of a worker's recently ended incarnations.
+    pub(super) fn lost_worker_token(&self, worker: &LifeId) -> Option<u64> {
+        let lives = self.lost_workers.iter().filter(|lost| lost.worker == *worker);
+        lives.map(|lost| lost.token).max()
     }
 
-    /// Whether a worker crashed of late where another life answers now.
-    pub(super) fn has_fallen(&self, address: &str) -> bool {
-        self.fallen.iter().any(|fallen| fallen.address == address)
+    /// Returns whether a worker was recently lost at an address.
+    pub(super) fn has_lost_worker_at(&self, address: &str) -> bool {
+        self.lost_workers.iter().any(|lost| lost.address == address)
     }
 }
 
-/// The runs on a worker that may be what made it fall silent: those that were just started, else all.
+/// Returns the runs that may have made a worker fall silent: recently started ones, or else all.
 pub(super) fn suspects_among(life: &Life, now: Time) -> Vec<Suspect> {
-    let sent = life.runs().iter().filter(|&(&task, run)| life.was_sent(task, run));
-    let sent = sent.collect::<Vec<_>>();
-    let any_started = sent.iter().any(|(_, run)| is_just_started(life, run));
-    let suspects = sent.into_iter().filter(|(_, run)| !any_started || is_just_started(life, run));
+    let ordered = life.runs().iter().filter(|&(&task, run)| life.was_sent(task, run));
+    let ordered = ordered.collect::<Vec<_>>();
+    let any_started = ordered.iter().any(|(_, run)| is_recently_started(life, run));
+    let suspects =
+        ordered.into_iter().filter(|(_, run)| !any_started || is_recently_started(life, run));
     let suspect = |(&task, run): (&TaskName, &RunThere)| {
-        let ran = ran_for(life, run, now);
+        let ran = run_duration_bounds(life, run, now);
         let evidence = match any_started {
             false => CrashEvidence::RanThere,
             true if !run.is_running() => CrashEvidence::Unconfirmed,
-            true if u128::from(ran.most_ms) <= AT_ONCE.as_millis() => CrashEvidence::FellAtOnce,
+            true if u128::from(ran.most_ms) <= IMMEDIATE_CRASH_WINDOW.as_millis() => {
+                CrashEvidence::FellAtOnce
+            }
             true => CrashEvidence::JustStarted,
         };
         Suspect { task, evidence, ran: Some(ran) }
@@ -230,15 +246,15 @@
     suspects.map(suspect).collect()
 }
 
-/// Whether a run may have been started just before its worker fell silent.
-fn is_just_started(life: &Life, run: &RunThere) -> bool {
-    !run.adopted && life.known_to_run(run).is_none_or(|ran| ran < JUST_STARTED)
+/// Returns whether a run may have started just before its worker fell silent.
+fn is_recently_started(life: &Life, run: &RunThere) -> bool {
+    !run.adopted && life.known_to_run(run).is_none_or(|ran| ran < RECENT_START_WINDOW)
 }
 
-/// For how long a run had run when its worker fell silent.
-fn ran_for(life: &Life, run: &RunThere, now: Time) -> RanFor {
+/// Returns how long a run had lasted when its worker fell silent.
+fn run_duration_bounds(life: &Life, run: &RunThere, now: Time) -> RanFor {
     let Phase::Running(since) = run.phase else { return RanFor::UNKNOWN };
-    let least = life.known_to_run(run).unwrap_or_default();
-    let most = life.silent_since.unwrap_or(now).since(since).max(least);
-    RanFor { least_ms: least.as_millis() as u64, most_ms: most.as_millis() as u64 }
+    let least_ran = life.known_to_run(run).unwrap_or_default();
+    let most_ran = life.silent_since.unwrap_or(now).since(since).max(least_ran);
+    RanFor { least_ms: least_ran.as_millis() as u64, most_ms: most_ran.as_millis() as u64 }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
@@ -1,5 +1,5 @@
-//! Availability zones that are being evacuated: nothing starts there, and what runs there for long goes
-//! elsewhere where there is room. See `docs/design/evacuation.md`.
+//! Evacuates availability zones: nothing starts there, and long-running work moves elsewhere as
+//! capacity allows. See `docs/design/evacuation.md`.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -22,53 +22,54 @@
 };
 use crate::Time;
 
-/// How often one run is moved out of a zone that is evacuated, over all workers: a zone with 600
-/// tasks that last is empty within a minute.
-const MOVE_EVERY: Duration = Duration::from_millis(100);
-/// On how many workers something to move is looked for each time: each run that may move is held against
+/// The interval between two moves out of evacuated zones, across all workers. It empties a zone
+/// with 600 long-running tasks within a minute.
+const MOVE_INTERVAL: Duration = Duration::from_millis(100);
+/// The most workers searched for a run to move in one round. Each candidate run is checked against
 /// every worker.
-const LIVES_AT_ONCE: usize = 4;
-/// A run that keeps its progress and is done sooner than this is left to finish, in milliseconds: to
-/// stop it and to start it again takes about a second.
-const FINISHES_WITHIN_MS: f64 = 5_000.0;
+const MAX_WORKERS_PER_SEARCH: usize = 4;
+/// A run that saves its progress and will finish within this time is left to finish, in
+/// milliseconds. Stopping and restarting it takes about a second.
+const MIN_REMAINING_TO_MOVE_MS: f64 = 5_000.0;
 
-/// The zones that are being evacuated, and what was done about them.
+/// The zones being evacuated and the progress of the evacuation.
 #[derive(Debug, Default)]
 pub(super) struct ZoneEvacuation {
     zones: BTreeSet<String>,
-    /// When a run was moved last.
-    moved_at: Time,
-    /// Where the search for the next run goes on.
-    moved_from: Option<LifeNo>,
-    /// The steps that were looked at: whether any worker outside could run their tasks.
-    looked_at: BTreeMap<JobId, BTreeSet<u32>>,
+    /// When the last run was moved.
+    last_move_at: Time,
+    /// The worker searched last; the next search continues after it.
+    last_searched: Option<LifeNo>,
+    /// The steps already checked for whether any worker outside the evacuated zones can run their
+    /// tasks.
+    checked_steps: BTreeMap<JobId, BTreeSet<u32>>,
 }
 
 impl Scheduler {
-    /// Puts the zones that are being evacuated in force, all of them.
-    pub(super) fn set_evacuated(&mut self, zones: BTreeSet<String>) {
+    /// Replaces the set of zones being evacuated.
+    pub(super) fn set_evacuated_zones(&mut self, zones: BTreeSet<String>) {
         if self.evacuation.zones == zones {
             return;
         }
         self.evacuation.zones = zones;
-        self.evacuation.looked_at.clear();
+        self.evacuation.checked_steps.clear();
         for no in self.lives.numbers() {
-            self.note_zone(no);
+            self.update_zone_status(no);
         }
         self.replan = true;
     }
 
-    /// Brings up to date whether a worker is in a zone that is being evacuated.
-    pub(super) fn note_zone(&mut self, no: LifeNo) {
+    /// Updates whether a worker is in an evacuated zone.
+    pub(super) fn update_zone_status(&mut self, no: LifeNo) {
         let Some(life) = self.lives.get_mut(no) else { return };
         let was_evacuated = life.zone_evacuated;
         life.zone_evacuated = self.evacuation.zones.contains(&life.entry.zone);
         if life.zone_evacuated && !was_evacuated {
-            self.take_back_starts(no);
+            self.cancel_unsent_starts(no);
         }
     }
 
-    /// How many runs are left on workers of zones that are being evacuated.
+    /// Returns the number of runs that remain on workers in evacuated zones.
     pub fn runs_in_evacuated_zones(&self) -> u64 {
         if self.evacuation.zones.is_empty() {
             return 0;
@@ -77,8 +78,8 @@
         lives.map(|life| life.runs().len() as u64).sum()
     }
 
-    /// Takes back the orders to start that have not left.
-    fn take_back_starts(&mut self, no: LifeNo) {
+    /// Cancels orders to start that have not been sent.
+    fn cancel_unsent_starts(&mut self, no: LifeNo) {
         let Some(life) = self.lives.get(no) else { return };
         let start = |order: &Order| match order {
             Order::Start(start) => Some((start.task, start.run)),
@@ -87,13 +88,13 @@
         for (task, run) in life.orders.iter().filter_map(start).collect::<Vec<_>>() {
             self.stop_run(no, task, run);
             if self.step_spec(task).is_some_and(|spec| spec.gang) {
-                self.stop_members(task, run);
+                self.stop_gang_members(task, run);
             }
         }
     }
 
-    /// Stops the other members of a gang, which can't work without the one that was taken back.
-    fn stop_members(&mut self, name: TaskName, run: u32) {
+    /// Stops the remaining members of a gang, which can't work after one was cancelled.
+    fn stop_gang_members(&mut self, name: TaskName, run: u32) {
         let Some(step) = self.jobs.get(&name.job).and_then(|job| job.step(name.step_name())) else {
             return;
         };
@@ -105,24 +106,29 @@
         }
     }
 
-    /// Moves one run out of a zone that is being evacuated, if it is time and there is room for it.
-    pub(super) fn move_out_if_due(&mut self) {
-        let due = self.now.since(self.evacuation.moved_at) >= MOVE_EVERY;
+    /// Moves one run out of an evacuated zone if a move is due and there is capacity elsewhere.
+    pub(super) fn evacuate_zones_if_due(&mut self) {
+        let due = self.now.since(self.evacuation.last_move_at) >= MOVE_INTERVAL;
         if self.evacuation.zones.is_empty() || !due || self.short_work.waits() {
             return;
         }
-        self.evacuation.moved_at = self.now;
-        for no in self.lives_to_empty().into_iter().take(LIVES_AT_ONCE) {
-            self.evacuation.moved_from = Some(no);
-            if let Some((task, run)) = self.run_to_move(no) {
-                return self.move_run(no, task, run, "moved: its zone is being evacuated");
+        self.evacuation.last_move_at = self.now;
+        for no in self.workers_to_evacuate().into_iter().take(MAX_WORKERS_PER_SEARCH) {
+            self.evacuation.last_searched = Some(no);
+            if let Some((task, run)) = self.find_run_to_move(no) {
+                return self.move_run(
+                    no,
+                    task,
+                    run,
+                    "moved: its availability zone is being evacuated",
+                );
             }
         }
     }
 
-    /// The workers with something to move, each after the one before, so that all get their turn.
-    fn lives_to_empty(&self) -> Vec<LifeNo> {
-        let last = self.evacuation.moved_from;
+    /// Returns the workers to evacuate, in round-robin order.
+    fn workers_to_evacuate(&self) -> Vec<LifeNo> {
+        let last = self.evacuation.last_searched;
         let leaves = |life: &Life| life.zone_evacuated && !life.runs().is_empty();
         let lives = self.lives.iter().filter(|(_, life)| leaves(life) && life.silent == 0);
         let mut lives = lives.map(|(no, _)| no).collect::<Vec<_>>();
@@ -130,42 +136,42 @@
         lives
     }
 
-    /// A run of a worker that is to move and for which there is room elsewhere.
-    fn run_to_move(&mut self, no: LifeNo) -> Option<(TaskName, u32)> {
+    /// Returns a run of a worker that must move and for which there is capacity elsewhere.
+    fn find_run_to_move(&mut self, no: LifeNo) -> Option<(TaskName, u32)> {
         let now = self.now;
         let life = self.lives.get(no)?;
-        let runs = life.runs().iter().filter(|(_, run)| moves(run, now));
+        let runs = life.runs().iter().filter(|(_, run)| must_move(run, now));
         let runs = runs.map(|(&task, run)| (task, run.run)).collect::<Vec<_>>();
         runs.into_iter().find(|&(task, _)| {
             let spec = self.step_spec(task).filter(|spec| !spec.gang).cloned();
             spec.is_some_and(|spec| {
-                self.may_be_away(task, &spec)
+                self.may_interrupt(task, &spec)
                     && !self.takes_room_of_short_work(&spec)
-                    && self.finds_place_undisturbed(task, &spec)
+                    && self.has_undisturbed_placement(task, &spec)
             })
         })
     }
 
-    /// Whether there is room elsewhere for a task and, if it serves, nothing that fills would disturb it
-    /// there: where it is it will be alone soon.
-    fn finds_place_undisturbed(&mut self, name: TaskName, spec: &StepSpec) -> bool {
+    /// Returns whether a task can be placed elsewhere. A latency-critical task must also not be
+    /// disturbed by batch tasks there, since it will soon be alone where it is.
+    fn has_undisturbed_placement(&mut self, name: TaskName, spec: &StepSpec) -> bool {
         let Some(no) = self.choose(name, spec, &[]) else { return false };
         let image = self.jobs.get(&name.job).and_then(|job| job.images.get(name.step as usize));
         let Some((life, &image)) = self.lives.get(no).zip(image) else { return false };
         spec.tail_target_ms.is_none() || added(&self.tails, &full_loads(life), image) == 0.0
     }
 
-    /// Whether a task may be away for the time of a move. Tasks of a step that lasts move one after the
-    /// other, whatever more of them may be away.
-    fn may_be_away(&self, name: TaskName, spec: &StepSpec) -> bool {
+    /// Returns whether a task may be interrupted for a move. Tasks of a long-running step move one
+    /// at a time, even if the step tolerates more missing tasks.
+    fn may_interrupt(&self, name: TaskName, spec: &StepSpec) -> bool {
         match spec.lasts {
-            true => spec.may_miss != Some(0) && self.all_at_work(name.step_name()),
+            true => spec.may_miss != Some(0) && self.all_tasks_working(name.step_name()),
             false => true,
         }
     }
 
-    /// Whether all tasks of a step are at work, as far as is known.
-    fn all_at_work(&self, step: StepName) -> bool {
+    /// Returns whether all tasks of a step are known to be working.
+    fn all_tasks_working(&self, step: StepName) -> bool {
         let Some(tasks) = self.jobs.get(&step.job).and_then(|job| job.step(step)) else {
             return false;
         };
@@ -178,41 +184,42 @@
         })
     }
 
-    /// Says once of each step whose tasks wait that only zones that are being evacuated could run it.
+    /// Logs once for each step with pending tasks if only evacuated zones have workers that could
+    /// run them.
     pub(super) fn note_if_zone_needed(&mut self, step: StepName) {
         if self.evacuation.zones.is_empty() {
             return;
         }
         let Some(job) = self.jobs.get(&step.job) else { return };
         let Some(spec) = job.step_spec(step.step) else { return };
-        if !self.evacuation.looked_at.entry(step.job).or_default().insert(step.step) {
+        if !self.evacuation.checked_steps.entry(step.job).or_default().insert(step.step) {
             return;
         }
-        let able = |life: &&Life| {
+        let capable = |life: &&Life| {
             life.listing == Listing::Listed && could_run(life, &job.queue.service, spec)
         };
-        let mut able = self.lives.values().filter(able).peekable();
-        if able.peek().is_some() && able.all(|life| life.zone_evacuated) {
+        let mut capable = self.lives.values().filter(capable).peekable();
+        if capable.peek().is_some() && capable.all(|life| life.zone_evacuated) {
             let (job, step) = (step.job, step.step);
             self.out.push(Action::Note(Note::WaitsForZone { job, step }));
         }
     }
 
-    /// Forgets what was noted of a job that ended.
-    pub(super) fn forget_zone_needed(&mut self, job: JobId) {
-        self.evacuation.looked_at.remove(&job);
+    /// Clears the evacuation state of an ended job.
+    pub(super) fn clear_zone_checks(&mut self, job: JobId) {
+        self.evacuation.checked_steps.remove(&job);
     }
 }
 
-/// Whether a run is to leave a zone that is being evacuated: it lasts, or takes long and keeps its
-/// progress.
-fn moves(run: &RunThere, now: Time) -> bool {
-    let goes_on = !run.stopping && run.is_running();
-    let is_long = left_ms(run, now).is_some_and(|left_ms| left_ms > FINISHES_WITHIN_MS);
-    goes_on && (run.lasts || (run.keeps_progress && is_long))
+/// Returns whether a run must leave an evacuated zone: it is long-running, or it saves its progress
+/// and has long to go.
+fn must_move(run: &RunThere, now: Time) -> bool {
+    let is_active = !run.stopping && run.is_running();
+    let is_long = left_ms(run, now).is_some_and(|left_ms| left_ms > MIN_REMAINING_TO_MOVE_MS);
+    is_active && (run.lasts || (run.keeps_progress && is_long))
 }
 
-/// Whether a worker could run a task if it ran nothing else.
+/// Returns whether a worker could run a task if it ran nothing else.
 fn could_run(life: &Life, service: &str, spec: &StepSpec) -> bool {
     let labelled = spec.label.as_ref().is_none_or(|label| life.entry.labels.contains(label));
     life.entry.service == service && labelled && spec.size.fits_in(&life.entry.capacity)
--- a/crates/kitetrail-core/src/jobs/scheduler/gauges.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/gauges.rs
@@ -1,4 +1,4 @@
-//! What the gauges of a worker's runs tell of how much images disturb each other.
+//! Learns from the gauges of a worker's runs how much images interfere with each other.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
 };
 use crate::Time;
 
-/// The time that a gauge tells of, as the platform says.
+/// The time window that a gauge covers, as specified by the platform.
 const GAUGE_WINDOW: Duration = Duration::from_millis(500);
 
-/// Learns from the newest report of a worker.
+/// Updates the interference model from a worker's latest report.
 pub(super) fn learn(tails: &mut TailModel, life: &mut Life, now: Time) {
-    let loads = loads_in_use(life, now);
+    let loads = loads_in_window(life, now);
     life.room = None;
     for (_, run) in life.runs_mut() {
         let (Some(tail_ms), Some(target_ms)) = (run.gauge, run.tail_target_ms) else { continue };
         if tail_ms == 0 {
             continue;
         }
-        let over = u64::from(tail_ms) > target_ms;
-        run.over_since = if over { run.over_since.or(Some(now)) } else { None };
+        let above_target = u64::from(tail_ms) > target_ms;
+        run.over_since = if above_target { run.over_since.or(Some(now)) } else { None };
         let gap_s = run.learned_at.map_or(0.0, |at| now.since(at).as_secs_f64());
         run.learned_at = Some(now);
         let tail =
@@ -31,15 +31,15 @@
     }
 }
 
-/// What the tasks that fill used over the time that gauges tell of, by image.
-fn loads_in_use(life: &mut Life, now: Time) -> Vec<Load> {
+/// Returns the CPU load of batch tasks during the gauge window, by image.
+fn loads_in_window(life: &mut Life, now: Time) -> Vec<Load> {
     life.just_ended.retain(|ended| now.since(ended.at) < GAUGE_WINDOW);
     let mut loads = loads_by(life, |run| f64::from(run.gauge.unwrap_or(0)));
     let capacity = capacity_millis(life);
     for ended in &life.just_ended {
         let share = 1.0 - now.since(ended.at).as_secs_f64() / GAUGE_WINDOW.as_secs_f64();
         let load = f64::from(ended.cpu_millis) * share / capacity;
-        match loads.iter_mut().find(|(known, _)| *known == ended.image) {
+        match loads.iter_mut().find(|(known_image, _)| *known_image == ended.image) {
             Some((_, sum)) => *sum += load,
             None => loads.push((ended.image, load)),
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/hear.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/hear.rs
@@ -1,4 +1,4 @@
-//! Answers to holds: what workers run, compared with what is believed.
+//! Handles answers to holds: reconciles what workers run with the scheduler's state.
 
 use std::mem;
 
@@ -12,14 +12,14 @@
         steps::Placement,
     },
     Scheduler,
-    incarnations::ToldBy,
+    incarnations::ReportSource,
     tails::ImageNo,
 };
 use crate::Time;
 
 impl Scheduler {
-    /// Takes note of what came back to a hold.
-    pub(super) fn held(
+    /// Handles the answer to a hold, or its failure.
+    pub(super) fn handle_hold_answer(
         &mut self,
         no: LifeNo,
         hold: Hold,
@@ -29,28 +29,30 @@
         let Some(life) = self.lives.get_mut(no) else { return };
         life.hold_sent = false;
         match answer {
-            Ok(report) => match self.told_by(no, sent_at, &report) {
-                ToldBy::ThisLife => self.heard(no, hold, sent_at, &report),
-                ToldBy::Another(incarnation) => self.heard_another(no, incarnation, sent_at),
-                ToldBy::Earlier => self.note_ends_of_earlier(no, &report.ended),
-                ToldBy::Unknown => {}
+            Ok(report) => match self.report_source(no, sent_at, &report) {
+                ReportSource::ThisLife => self.handle_report(no, hold, sent_at, &report),
+                ReportSource::Another(incarnation) => {
+                    self.handle_other_incarnation(no, incarnation, sent_at)
+                }
+                ReportSource::Earlier => self.handle_ends_of_earlier_incarnation(no, &report.ended),
+                ReportSource::Unknown => {}
             },
             Err(HoldFailure::LifeOver) => {
                 return self.end_life(no, LifeEnd::AnotherAnswers);
             }
-            Err(HoldFailure::Fenced) => self.hold_fenced(no, hold.token),
+            Err(HoldFailure::Fenced) => self.handle_fenced_hold(no, hold.token),
             Err(HoldFailure::Unhealthy) => {
                 life.silent += 1;
                 self.set_aside_unhealthy(no);
             }
-            Err(HoldFailure::Unanswered) => self.note_silence(no),
+            Err(HoldFailure::Unanswered) => self.handle_silence(no),
         }
         self.schedule_hold(no);
         self.send_next_order(no);
     }
 
-    /// Takes note of runs that ended, as a late answer says.
-    pub(super) fn note_late_ends(
+    /// Handles ends of runs reported in a late answer.
+    pub(super) fn handle_late_ends(
         &mut self,
         no: LifeNo,
         incarnation: Option<Incarnation>,
@@ -58,25 +60,25 @@
     ) {
         let Some(life) = self.lives.get(no) else { return };
         if incarnation.is_some() && incarnation != life.entry.incarnation {
-            return self.note_ends_of_earlier(no, ended);
+            return self.handle_ends_of_earlier_incarnation(no, ended);
         }
         for end in ended {
-            self.run_ended(no, end);
+            self.handle_run_end(no, end);
         }
     }
 
-    fn note_silence(&mut self, no: LifeNo) {
+    fn handle_silence(&mut self, no: LifeNo) {
         if self.lives.get(no).is_some_and(|life| life.silent == 0) {
-            self.note_belief(no, "silent");
+            self.log_worker_state(no, "silent");
         }
-        self.raise_token(no);
+        self.raise_token_after_silence(no);
         self.copy_from_silent(no);
     }
 
-    fn heard(&mut self, no: LifeNo, hold: Hold, sent_at: Time, report: &Report) {
+    fn handle_report(&mut self, no: LifeNo, hold: Hold, sent_at: Time, report: &Report) {
         let now = self.now;
         if self.lives.get(no).is_some_and(|life| life.silent > 0 && life.known) {
-            self.note_belief(no, "heard again");
+            self.log_worker_state(no, "answers again");
         }
         let Some(life) = self.lives.get_mut(no) else { return };
         let first = !life.known;
@@ -92,15 +94,15 @@
             self.end_earlier_lives(no, sent_at, report);
         }
         if first {
-            self.forget_begun(no, report);
+            self.clear_unstarted(no, report);
         }
         for end in &report.ended {
-            self.run_ended(no, end);
+            self.handle_run_end(no, end);
         }
         for running in &report.running {
-            self.compare_running(no, running);
+            self.reconcile_running(no, running);
         }
-        self.compare_missing(no, hold, sent_at, report);
+        self.reconcile_missing(no, hold, sent_at, report);
         self.check_suspects(no);
         self.check_progress(no);
         self.control_pace(no);
@@ -109,26 +111,27 @@
         }
     }
 
-    /// A run that the worker reports: as believed, inherited, or one that should not be.
-    fn compare_running(&mut self, no: LifeNo, running: &RunningTask) {
+    /// Reconciles a reported run, which may be expected, inherited or unwanted.
+    fn reconcile_running(&mut self, no: LifeNo, running: &RunningTask) {
         let now = self.now;
         let (name, run) = (running.task, running.run);
         let placement = Placement { life: no, run };
-        let wanted = self.wants(name, placement);
+        let is_wanted = self.should_run(name, placement);
         let Some(life) = self.lives.get_mut(no) else { return };
-        match life.runs().get(&name).map(|there| there.run) {
-            Some(believed) if believed != run => return,
+        match life.runs().get(&name).map(|run_state| run_state.run) {
+            Some(expected) if expected != run => return,
             Some(_) => life.note_confirmed(name, run, now),
             None => self.adopt(no, running),
         }
-        match wanted {
-            true => self.note_runs(name, placement, running.checkpoint.as_deref()),
+        match is_wanted {
+            true => self.record_running(name, placement, running.checkpoint.as_deref()),
             false => self.stop_run(no, name, run),
         }
     }
 
-    /// A worker that earlier owners used answers: what it does not run of what they were about to start there never ran.
-    fn forget_begun(&mut self, no: LifeNo, report: &Report) {
+    /// Clears recorded starts when a worker used by an earlier owner answers: tasks recorded as
+    /// about to start there that it does not run never ran.
+    fn clear_unstarted(&mut self, no: LifeNo, report: &Report) {
         let Some(life) = self.lives.get_mut(no) else { return };
         for name in mem::take(&mut life.begun_before) {
             let runs = report.running.iter().any(|running| running.task == name);
@@ -138,17 +141,18 @@
         }
     }
 
-    /// Whether a run may go on: its job is open, its task not done and not placed elsewhere.
-    fn wants(&self, name: TaskName, placement: Placement) -> bool {
+    /// Returns whether a run may continue: its job is open, and its task is neither done nor placed
+    /// elsewhere.
+    fn should_run(&self, name: TaskName, placement: Placement) -> bool {
         let Some(job) = self.jobs.get(&name.job).filter(|job| job.is_open()) else { return false };
         let copies = job.step_spec(name.step).is_some_and(|step| step.copies_allowed);
         job.task(name).is_some_and(|task| {
-            let here = task.placed.contains(&placement);
-            !task.done && (here || task.placed.is_empty() || copies)
+            let placed_here = task.placed.contains(&placement);
+            !task.done && (placed_here || task.placed.is_empty() || copies)
         })
     }
 
-    fn note_runs(&mut self, name: TaskName, placement: Placement, checkpoint: Option<&str>) {
+    fn record_running(&mut self, name: TaskName, placement: Placement, checkpoint: Option<&str>) {
         let Some(job) = self.jobs.get_mut(&name.job) else { return };
         job.begun = true;
         let Some(task) = job.task_mut(name) else { return };
@@ -162,16 +166,17 @@
         }
     }
 
-    /// Takes over a run that an earlier owner started.
+    /// Adopts a run that an earlier owner started.
     fn adopt(&mut self, no: LifeNo, running: &RunningTask) {
         let now = self.now;
         let name = running.task;
         let image = self.image_of(name);
-        // Of what is not known, its job having ended, all that can be said is that it fits.
+        // If the job has ended its spec is unknown. All that is certain is that the task fits the
+        // worker.
         let size = self.lives.get(no).map(|life| life.entry.capacity).unwrap_or_default();
         let unknown = StepSpec { size, ..StepSpec::default() };
         let spec = self.step_spec(name).unwrap_or(&unknown);
-        let there = RunThere {
+        let run_state = RunThere {
             phase: Phase::Running(now),
             percent: running.percent,
             progress: Progress { from_percent: running.percent, ..Progress::new(now) },
@@ -181,34 +186,34 @@
             ..RunThere::new(running.run, spec, image, now)
         };
         if let Some(life) = self.lives.get_mut(no) {
-            life.insert_run(name, there);
+            life.insert_run(name, run_state);
         }
     }
 
-    /// The image of a task; the one without a name for a task of no known job.
+    /// Returns the image of a task, or the unnamed image if its job is unknown.
     fn image_of(&mut self, name: TaskName) -> ImageNo {
         let known = self.jobs.get(&name.job).and_then(|job| job.images.get(name.step as usize));
         known.copied().unwrap_or_else(|| self.tails.number(None))
     }
 
-    /// Gives up runs that are believed there and not reported.
-    fn compare_missing(&mut self, no: LifeNo, hold: Hold, sent_at: Time, report: &Report) {
+    /// Drops runs that the scheduler expects on a worker but the worker does not report.
+    fn reconcile_missing(&mut self, no: LifeNo, hold: Hold, sent_at: Time, report: &Report) {
         let Some(life) = self.lives.get(no) else { return };
         let reported = |name: TaskName, run: u32| {
             report.running.iter().any(|running| running.task == name && running.run == run)
         };
-        let missing = life.runs().iter().filter(|&(&name, there)| {
-            let settled = match there.phase {
+        let missing = life.runs().iter().filter(|&(&name, run_state)| {
+            let is_settled = match run_state.phase {
                 Phase::Unkept | Phase::Ordered => false,
                 Phase::Doubtful { settled_by } => hold.token >= settled_by,
                 Phase::Running(since) => since < sent_at,
             };
-            settled && !reported(name, there.run)
+            is_settled && !reported(name, run_state.run)
         });
-        let why = "its worker does not run it and would not start it any more";
-        let missing = missing.map(|(&name, there)| (name, there.run)).collect::<Vec<_>>();
+        let why = "its worker does not run it and can no longer start it";
+        let missing = missing.map(|(&name, run_state)| (name, run_state.run)).collect::<Vec<_>>();
         for (task, run) in missing {
-            self.note_given_up(no, task, why);
+            self.log_dropped_run(no, task, why);
             self.drop_run(no, task, run);
         }
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/holds.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/holds.rs
@@ -1,4 +1,4 @@
-//! Holds: when workers are asked what they run, and for how long that renews their leases.
+//! Sends holds, the long-polling requests that ask workers what they run and renew their leases.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,90 +11,93 @@
     Scheduler,
 };
 
-/// How long a worker may wait for an end before it answers a hold. Bounds how late we learn of
-/// slow tasks; the platform takes up to 2,000 ms.
+/// The longest time that a worker may wait for an end before it answers a hold, in milliseconds. It
+/// bounds how late slow tasks are noticed; the platform accepts up to 2,000 ms.
 const HOLD_WAIT_MS: u32 = 900;
-/// The same where something serves beside something that fills: tails change within seconds.
+/// The same for workers that run latency-critical and batch tasks side by side, where tail
+/// latencies change within seconds.
 const HOLD_WAIT_SHARED_MS: u32 = 500;
-/// How long to wait before the next hold, so that ends that come together are told together.
+/// The pause before the next hold, so that ends that occur close together share one answer.
 const HOLD_PAUSE: Duration = Duration::from_millis(120);
-/// The same for a worker that runs nothing: only its health is of interest.
+/// The same for a worker that runs nothing, of which only the health matters.
 const HOLD_PAUSE_IDLE: Duration = Duration::from_millis(5_000);
-/// The same for a worker that runs nothing and has ends that it was not told are kept: they are
-/// kept within some 100 ms, and nothing else is expected of it.
-const HOLD_PAUSE_ENDED: Duration = Duration::from_millis(600);
-/// The same after a hold that brought nothing, for each one in a row.
-const HOLD_RETRY: Duration = Duration::from_millis(150);
-/// How many holds a second an owner aims at, to workers that run something and answer in their usual
-/// time, so that a large fleet leaves it time for the rest: each takes some 60 µs. Retries and holds
-/// after a start come on top.
-const HOLDS_PER_S: f64 = 2_000.0;
-/// What a hold and the pause after it take without that: the shortest wait and [`HOLD_PAUSE`].
-const USUAL_ROUND: Duration = Duration::from_millis(620);
-/// The longest of the retries' pauses.
-const HOLD_RETRY_MAX: Duration = Duration::from_millis(1_000);
+/// The same for a worker that runs nothing but has ends that were not acknowledged yet. They are
+/// persisted within about 100 ms, and nothing else is expected of it.
+const HOLD_PAUSE_UNACKNOWLEDGED: Duration = Duration::from_millis(600);
+/// The increment of the pause for each failed hold in a row.
+const HOLD_RETRY_STEP: Duration = Duration::from_millis(150);
+/// The number of holds a second that an owner aims at for workers that run something and answer in
+/// the usual time. Each hold takes about 60 µs, so the limit leaves the owner of a large fleet time
+/// for other work. Retries and holds after a start come on top.
+const TARGET_HOLDS_PER_S: f64 = 2_000.0;
+/// The usual duration of a hold and the pause after it: the shortest wait and [`HOLD_PAUSE`].
+const USUAL_HOLD_CYCLE: Duration = Duration::from_millis(620);
+/// The longest pause between retries.
+const MAX_HOLD_RETRY: Duration = Duration::from_millis(1_000);
 
 impl Scheduler {
-    /// Asks a worker what it runs, if it is time.
-    pub(super) fn hold_if_due(&mut self, no: LifeNo) {
-        let (now, lease, lapse_after) = (self.now, self.lease, self.lapse_after());
+    /// Sends a hold to a worker if one is due.
+    pub(super) fn send_hold_if_due(&mut self, no: LifeNo) {
+        let (now, lease, lease_expiry_delay) = (self.now, self.lease, self.lease_expiry_delay());
         let Some(life) = self.lives.get_mut(no) else { return };
-        if life.hold_sent || life.next_hold_at.is_none_or(|at| at > now) {
+        if life.hold_sent || life.next_hold_at.is_none_or(|due_at| due_at > now) {
             return;
         }
         let ends_kept = life.ends_to_tell();
         if ends_kept > 0 && life.start_is_on_its_way() {
-            // Its answer shows whether a later life has taken it, whose ends must not be told to be kept.
+            // The answer to the start shows whether a later incarnation received it. That one must
+            // not be told that ends of this one are persisted.
             return;
         }
         let wait_ms = wait_ms(life);
-        // A silent worker's lease is left to run out: a renewal that is not answered may count.
+        // The lease of a silent worker is left to expire, because even an unanswered renewal may
+        // take effect.
         let may_lease = life.silent == 0 && life.leasing == Leasing::Allowed;
-        let renews = life.clock_ms(now).filter(|_| may_lease);
-        let lease_until_ms = renews.map(|clock_ms| clock_ms + lease.as_millis() as u64);
+        let lease_clock_ms = life.clock_ms(now).filter(|_| may_lease);
+        let lease_until_ms = lease_clock_ms.map(|clock_ms| clock_ms + lease.as_millis() as u64);
         if lease_until_ms.is_some() {
-            life.note_leased(lapse_after, now);
+            life.note_leased(lease_expiry_delay, now);
         }
         life.hold_sent = true;
         let hold = Hold { token: life.token, lease_until_ms, ends_kept, wait_ms };
         self.out.push(Action::Hold { life: no, entry: Arc::clone(&life.entry), hold });
     }
 
-    /// Says when the worker is asked again.
+    /// Schedules the next hold to a worker.
     ///
-    /// Where a tail is above its target neither a large fleet nor a late owner asks less often: what fills
-    /// there is halted by these reports.
+    /// Where a tail latency is above its target, neither a large fleet nor a lagging owner delays
+    /// holds, because batch tasks there are halted based on these reports.
     pub(super) fn schedule_hold(&mut self, no: LifeNo) {
         let now = self.now;
-        let round = Duration::from_secs_f64(self.lives.len() as f64 / HOLDS_PER_S);
-        let crowded = round.saturating_sub(USUAL_ROUND);
+        let fleet_cycle = Duration::from_secs_f64(self.lives.len() as f64 / TARGET_HOLDS_PER_S);
+        let extra_pause = fleet_cycle.saturating_sub(USUAL_HOLD_CYCLE);
         let Some(life) = self.lives.get_mut(no) else { return };
         let pause = match life.silent {
             0 if life.contested => HOLD_PAUSE,
             0 if life.runs().is_empty() && life.ends_told >= life.ends_seen => HOLD_PAUSE_IDLE,
-            0 if life.runs().is_empty() => HOLD_PAUSE_ENDED,
+            0 if life.runs().is_empty() => HOLD_PAUSE_UNACKNOWLEDGED,
             0 if life.may_do_harm() => HOLD_PAUSE,
-            0 => HOLD_PAUSE + crowded + self.overload.hold_pause(),
-            times => (HOLD_RETRY * times).min(HOLD_RETRY_MAX),
+            0 => HOLD_PAUSE + extra_pause + self.overload.hold_pause(),
+            failed_holds => (HOLD_RETRY_STEP * failed_holds).min(MAX_HOLD_RETRY),
         };
         life.next_hold_at = Some(now + pause);
     }
 
-    /// Asks the worker soon, since something is expected of it.
-    pub(super) fn hold_soon(&mut self, no: LifeNo, pause: Duration) {
-        let at = self.now + pause;
+    /// Brings the next hold to a worker forward, because a change is expected.
+    pub(super) fn schedule_hold_within(&mut self, no: LifeNo, pause: Duration) {
+        let due_at = self.now + pause;
         if let Some(life) = self.lives.get_mut(no) {
-            life.next_hold_at = Some(life.next_hold_at.map_or(at, |due| due.min(at)));
+            life.next_hold_at = Some(life.next_hold_at.map_or(due_at, |due| due.min(due_at)));
         }
     }
 }
 
-/// How long a worker may wait for an end before it answers, in milliseconds.
+/// Returns how long a worker may wait for an end before it answers, in milliseconds.
 fn wait_ms(life: &Life) -> u32 {
     let is_leased = life.silent == 0 && life.leasing == Leasing::Allowed;
-    let at_once = !is_leased || life.contested || !life.known || life.runs().is_empty();
+    let immediate = !is_leased || life.contested || !life.known || life.runs().is_empty();
     let shared = life.serves() && life.fills();
-    match (at_once, shared) {
+    match (immediate, shared) {
         (true, _) => 0,
         (false, true) => HOLD_WAIT_SHARED_MS,
         (false, false) => HOLD_WAIT_MS,
--- a/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
@@ -1,12 +1,16 @@
-//! Workers that start again under their id: which of their lives is over, and what is known of it.
+//! Tracks workers that restart under the same id: which incarnation is over, and what is known of
+//! each.
 //!
-//! A worker that starts again holds nothing of before and counts its ends and its clock from anew. So each of its starts is a life of
-//! its own here, with its own numbers, runs and leases; what is dated by one start never counts for another.
+//! A restarted worker has lost all earlier state and restarts its end numbers and its clock. Each
+//! start is therefore a separate incarnation here, with its own numbers, runs and leases;
+//! timestamps and numbers of one incarnation never apply to another.
 //!
-//! Neither an entry nor the time of a start tells which of two lives is over: entries come late, and the time of day may
-//! have been put back. An answer does: a life that answers a question which left after the other was heard last came
-//! after it. Until then the lives contest each other. Nothing is ordered, no hold tells that ends are kept, and both are asked
-//! under a token above all that were sent before, so that orders on their way are refused by whichever lives.
+//! Neither a list entry nor a start time shows which of two incarnations is over: entries arrive
+//! late, and the wall clock may have been set back. An answer does: an incarnation that answers a
+//! request sent after the other one was last heard from is the later one. Until then the
+//! incarnations are contested. They get no orders and no acknowledgements of ends, and both are
+//! polled under a fencing token above all tokens sent before, so that whichever is alive refuses
+//! orders in flight.
 
 use std::time::Duration;
 
@@ -25,97 +29,109 @@
 };
 use crate::Time;
 
-/// Whose report an answer to a hold is.
+/// The source of the answer to a hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ToldBy {
-    /// That of the life that was asked.
+pub(super) enum ReportSource {
+    /// The incarnation that was asked.
     ThisLife,
-    /// Another start of the same worker answered.
+    /// Another incarnation of the same worker.
     Another(Incarnation),
-    /// An earlier start answered, and the life that was asked was heard since the question left.
+    /// An earlier incarnation; the one that was asked has answered since the request was sent.
     Earlier,
-    /// It does not tell, and more than one life is known.
+    /// Unknown: the answer does not identify its incarnation, and more than one is known.
     Unknown,
 }
 
-/// Who has done an order.
+/// The incarnation that executed an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum DoneBy {
-    /// The life that it was sent to.
+pub(super) enum Executor {
+    /// The incarnation that the order was sent to.
     ThisLife,
-    /// Another start of the same worker.
+    /// Another incarnation of the same worker.
     Another(Incarnation),
-    /// The answer does not tell, and its clock is another one, or more than one life is known.
+    /// Unknown: the answer does not identify its incarnation, and either its clock differs or more
+    /// than one incarnation is known.
     Unknown,
 }
 
 impl Scheduler {
-    /// The life that an entry is of, if it is known.
+    /// Returns the known incarnation that a list entry belongs to.
     ///
-    /// An entry that does not tell its start is taken for one of the life that stood in the list last.
-    pub(super) fn life_of_entry(&self, entry: &WorkerEntry) -> Option<LifeNo> {
+    /// An entry that does not identify its incarnation is attributed to the one that was listed
+    /// last.
+    pub(super) fn find_life_for_entry(&self, entry: &WorkerEntry) -> Option<LifeNo> {
         let lives = self.lives.of_worker(&entry.id);
         match entry.incarnation {
-            Some(_) => self.life_of(&entry.id, entry.incarnation),
+            Some(_) => self.find_life(&entry.id, entry.incarnation),
             None => lives.last().copied(),
         }
     }
 
-    fn life_of(&self, id: &LifeId, incarnation: Option<Incarnation>) -> Option<LifeNo> {
-        let is_it = |no: LifeNo| {
+    fn find_life(&self, id: &LifeId, incarnation: Option<Incarnation>) -> Option<LifeNo> {
+        let matches_incarnation = |no: LifeNo| {
             self.lives.get(no).is_some_and(|life| life.entry.incarnation == incarnation)
         };
-        self.lives.of_worker(id).iter().copied().find(|&no| is_it(no))
+        self.lives.of_worker(id).iter().copied().find(|&no| matches_incarnation(no))
     }
 
-    /// Whose report an answer is to a hold that was sent to a life at a moment.
-    pub(super) fn told_by(&self, no: LifeNo, sent_at: Time, report: &Report) -> ToldBy {
-        let Some(life) = self.lives.get(no) else { return ToldBy::Unknown };
+    /// Returns the source of the answer to a hold that was sent to an incarnation at a given time.
+    pub(super) fn report_source(&self, no: LifeNo, sent_at: Time, report: &Report) -> ReportSource {
+        let Some(life) = self.lives.get(no) else { return ReportSource::Unknown };
         let is_last = self.lives.of_worker(life.id()).last() == Some(&no);
-        let heard_since = life.heard_at.is_some_and(|heard_at| heard_at >= sent_at);
+        let answered_since = life.heard_at.is_some_and(|heard_at| heard_at >= sent_at);
         match report.incarnation {
-            None if life.contested && !is_last => ToldBy::Unknown,
-            None => ToldBy::ThisLife,
-            told if told == life.entry.incarnation => ToldBy::ThisLife,
-            Some(_) if heard_since => ToldBy::Earlier,
-            Some(incarnation) => ToldBy::Another(incarnation),
+            None if life.contested && !is_last => ReportSource::Unknown,
+            None => ReportSource::ThisLife,
+            reported if reported == life.entry.incarnation => ReportSource::ThisLife,
+            Some(_) if answered_since => ReportSource::Earlier,
+            Some(incarnation) => ReportSource::Another(incarnation),
         }
     }
 
-    /// Who has done an order that was sent to a life at a moment. Takes note that the life answered, if it did.
+    /// Returns which incarnation executed an order, and records the answer if it is the one that
+    /// the order was sent to.
     ///
-    /// An answer that does not tell its start shows a clock, which each start counts from anew.
-    pub(super) fn done_by(
+    /// An answer that does not identify its incarnation is matched by its clock, which restarts
+    /// with each one.
+    pub(super) fn executor_of(
         &mut self,
         no: LifeNo,
         clock_ms: u64,
         incarnation: Option<Incarnation>,
         sent_at: Time,
-    ) -> DoneBy {
+    ) -> Executor {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(no) else { return DoneBy::Unknown };
+        let Some(life) = self.lives.get_mut(no) else { return Executor::Unknown };
         let agrees = !life.contested && life.clock_agrees(clock_ms, sent_at, now);
         match incarnation {
-            Some(told) if Some(told) != life.entry.incarnation => return DoneBy::Another(told),
+            Some(other) if Some(other) != life.entry.incarnation => {
+                return Executor::Another(other);
+            }
             None if !agrees => {
-                // The question on its way may tell the later life that ends are kept which nobody heard. One with a higher
-                // token, sent now, goes before it if anything can.
+                // The hold in flight may acknowledge ends to the later incarnation that were never
+                // received. A hold with a higher token is sent now, to arrive first if possible.
                 life.hold_sent = false;
-                self.note_belief(no, "asked anew: its clock is another one");
-                return DoneBy::Unknown;
+                self.log_worker_state(no, "asked again: its clock differs");
+                return Executor::Unknown;
             }
             Some(_) | None => {}
         }
         life.note_heard(clock_ms, sent_at, now);
         self.resume_leasing(no);
-        DoneBy::ThisLife
+        Executor::ThisLife
     }
 
-    /// Another start of a worker answered where a life was asked at a moment.
-    pub(super) fn heard_another(&mut self, no: LifeNo, incarnation: Incarnation, sent_at: Time) {
+    /// Handles an answer from a different incarnation than the one that was asked.
+    pub(super) fn handle_other_incarnation(
+        &mut self,
+        no: LifeNo,
+        incarnation: Incarnation,
+        sent_at: Time,
+    ) {
         let Some(life) = self.lives.get(no) else { return };
-        // Where it answers is all that is known of it. It may offer something else than before, and does not leave because the
-        // one before did: it gets nothing until its own entry is read.
+        // Only its address is known. It may offer other resources than the previous incarnation,
+        // and is not leaving just because that one was. It gets no work until its own entry is
+        // read.
         let entry = WorkerEntry {
             incarnation: Some(incarnation),
             draining: false,
@@ -123,34 +139,35 @@
             ..(*life.entry).clone()
         };
         let precedes = life.precedes(sent_at);
-        match self.life_of_entry(&entry) {
+        match self.find_life_for_entry(&entry) {
             Some(other) if precedes && self.lives.get(other).is_some_and(|other| other.known) => {
-                self.note_restarted(no, other);
+                self.log_worker_restart(no, other);
                 self.end_life(no, LifeEnd::StartedAgain);
             }
-            Some(other) => self.ask_now(other),
+            Some(other) => self.send_hold_now(other),
             None => {
                 let other = self.insert_life(entry, self.now);
                 if let Some(life) = self.lives.get_mut(other) {
                     life.listing = Listing::Unread;
                 }
                 self.pending.add_life(other);
-                self.contest(other);
+                self.mark_contested(other);
             }
         }
     }
 
-    /// A life is new: if others are known under its id, answers have to show which of them is over.
-    pub(super) fn contest(&mut self, no: LifeNo) {
+    /// Marks the incarnations of a worker as contested if a new one joins others. Answers must show
+    /// which of them are over.
+    pub(super) fn mark_contested(&mut self, no: LifeNo) {
         let Some(life) = self.lives.get(no) else { return };
         let lives = self.lives.of_worker(&life.id().clone()).to_vec();
         if lives.len() < 2 {
             return;
         }
         self.raise_shared_token(no);
-        // An order or a hold with a time of the old clock may have reached the new one: what that leased lasts for the
-        // longest time that workers grant.
-        let leased_until = self.now + self.lapse_after_longest();
+        // An order or hold with a lease time of the old clock may have reached the new incarnation.
+        // Such a lease lasts at most as long as the longest lease that workers grant.
+        let leased_until = self.now + self.longest_lease_expiry_delay();
         if let Some(life) = self.lives.get_mut(no) {
             life.lapses_at = life.lapses_at.max(leased_until);
         }
@@ -158,21 +175,21 @@
             if let Some(life) = self.lives.get_mut(life) {
                 life.contested = true;
             }
-            self.note_belief(life, "contested: another start under its id is told");
-            self.ask_now(life);
+            self.log_worker_state(life, "contested: another incarnation with its id was reported");
+            self.send_hold_now(life);
         }
     }
 
-    /// Asks a worker now, unless a question is on its way or it is silent.
-    fn ask_now(&mut self, no: LifeNo) {
+    /// Sends a hold to a worker at once, unless one is in flight or the worker is silent.
+    fn send_hold_now(&mut self, no: LifeNo) {
         if self.lives.get(no).is_some_and(|life| life.silent == 0) {
-            self.hold_soon(no, Duration::ZERO);
-            self.hold_if_due(no);
+            self.schedule_hold_within(no, Duration::ZERO);
+            self.send_hold_if_due(no);
         }
     }
 
-    /// Ends the contest of a worker's lives if one is left.
-    pub(super) fn settle_contest(&mut self, id: &LifeId) {
+    /// Ends the contested state of a worker once a single incarnation is left.
+    pub(super) fn resolve_contest(&mut self, id: &LifeId) {
         let [no] = *self.lives.of_worker(id) else { return };
         let Some(life) = self.lives.get_mut(no).filter(|life| life.contested) else { return };
         life.contested = false;
@@ -180,8 +197,8 @@
         self.send_next_order(no);
     }
 
-    /// Gives all lives under a worker's id a token above every one that was sent there: whichever lives refuses what was
-    /// sent before.
+    /// Raises the fencing token of all incarnations of a worker above every token sent there.
+    /// Whichever is alive refuses everything sent before.
     pub(super) fn raise_shared_token(&mut self, no: LifeNo) {
         let Some(life) = self.lives.get(no) else { return };
         let lives = self.lives.of_worker(&life.id().clone()).to_vec();
@@ -194,23 +211,25 @@
         }
     }
 
-    /// Runs that were ordered of a life and are told by the one after it: the order reached that one. The others were lost
-    /// with the life before.
-    pub(super) fn take_over_runs(&mut self, before: LifeNo, after: LifeNo, report: &Report) {
+    /// Transfers runs that were ordered from one incarnation and are reported by its successor,
+    /// which received the order. All other runs were lost with the earlier incarnation.
+    pub(super) fn transfer_runs(&mut self, before: LifeNo, after: LifeNo, report: &Report) {
         let now = self.now;
-        let running = report.running.iter().map(|it| (it.task, it.run));
-        let ended = report.ended.iter().map(|it| (it.task, it.run));
+        let running = report.running.iter().map(|reported| (reported.task, reported.run));
+        let ended = report.ended.iter().map(|reported| (reported.task, reported.run));
         for (task, run) in running.chain(ended) {
             let life = self.lives.get_mut(before);
-            let Some(mut there) = life.and_then(|life| life.remove_run(task, run)) else {
+            let Some(mut run_state) = life.and_then(|life| life.remove_run(task, run)) else {
                 continue;
             };
-            there.phase = Phase::Running(now);
+            run_state.phase = Phase::Running(now);
             if let Some(life) = self.lives.get_mut(after) {
-                life.insert_run(task, there);
+                life.insert_run(task, run_state);
             }
             let placed = self.task_mut(task).into_iter().flat_map(|task| &mut task.placed);
-            for placement in placed.filter(|it| **it == Placement { life: before, run }) {
+            for placement in
+                placed.filter(|placed_run| **placed_run == Placement { life: before, run })
+            {
                 placement.life = after;
             }
         }
@@ -219,11 +238,11 @@
         }
     }
 
-    /// Writes to the log that a worker has started again under its id.
-    pub(super) fn note_restarted(&mut self, before: LifeNo, after: LifeNo) {
+    /// Logs that a worker has restarted under the same id.
+    pub(super) fn log_worker_restart(&mut self, before: LifeNo, after: LifeNo) {
         let Some(life) = self.lives.get(before) else { return };
         if !life.known && !self.unheard.contains(&before) {
-            // It came from an entry that was late.
+            // The incarnation came from a late entry.
             return;
         }
         let now = self.lives.get(after).and_then(|life| life.entry.incarnation);
--- a/crates/kitetrail-core/src/jobs/scheduler/inherit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/inherit.rs
@@ -1,4 +1,4 @@
-//! What an owner takes over from the one before.
+//! Restores the state that an owner inherits from its predecessor.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,82 +15,95 @@
 };
 use crate::{Resources, Time};
 
-/// How many runs' numbers each owner leaves to the one before, which may have used some that
+/// The range of run numbers reserved for each owner. The predecessor may have used numbers that
 /// nobody reports.
-const RUNS_PER_EPOCH: u32 = 1_000;
+const RUN_NUMBERS_PER_EPOCH: u32 = 1_000;
 
-/// What an owner takes over from the one before.
+/// The state that an owner inherits from its predecessor.
 #[derive(Debug, Default)]
 pub struct Inheritance {
-    /// The jobs of which it is kept what was asked for, each with its progress if any was kept.
+    /// Jobs with a persisted specification, each with its progress if that was persisted.
     pub jobs: Vec<(JobRecord, Option<ProgressRecord>)>,
-    /// The progress of all other jobs. Those that ended are remembered; one that is open and whose
-    /// steps can't be read is left out.
+    /// The progress of all other jobs. Ended jobs are remembered; an open job without a readable
+    /// specification is ignored.
     pub ended: Vec<ProgressRecord>,
-    /// Workers' lives on which tasks may run.
+    /// Worker incarnations on which tasks may be running.
     pub lives: Vec<LifeRecord>,
-    /// What was learned of how images disturb each other.
+    /// The learned interference between images.
     pub effects: EffectsRecord,
-    /// How long owners before may go on to renew leases.
+    /// How long earlier owners may continue to renew leases.
     pub leases_renewed_for: Duration,
 }
 
 impl Scheduler {
     pub(super) fn inherit(&mut self, inheritance: Inheritance) {
         let run_floor = u32::try_from(self.epoch.saturating_sub(1))
-            .unwrap_or(u32::MAX / RUNS_PER_EPOCH)
-            .saturating_mul(RUNS_PER_EPOCH);
+            .unwrap_or(u32::MAX / RUN_NUMBERS_PER_EPOCH)
+            .saturating_mul(RUN_NUMBERS_PER_EPOCH);
         self.tails.import(&inheritance.effects);
         for (record, progress) in inheritance.jobs {
-            if let Some(ended) = progress.as_ref().filter(|it| it.outcome != Outcome::Open) {
-                self.insert_ended(ended.id, ended.outcome, ended.ended_unix_ms);
+            if let Some(ended) =
+                progress.as_ref().filter(|progress| progress.outcome != Outcome::Open)
+            {
+                self.record_ended_job(ended.id, ended.outcome, ended.ended_unix_ms);
                 continue;
             }
             let job = Job::restore(record, progress, run_floor, self.now, self.unix_ms);
             self.insert_job(job);
         }
-        let ended = inheritance.ended.into_iter().filter(|it| it.outcome != Outcome::Open);
+        let ended =
+            inheritance.ended.into_iter().filter(|progress| progress.outcome != Outcome::Open);
         for ProgressRecord { id, outcome, ended_unix_ms, .. } in ended {
-            self.insert_ended(id, outcome, ended_unix_ms);
+            self.record_ended_job(id, outcome, ended_unix_ms);
         }
-        let given_until = self.now + self.lapse_after();
-        let mut begun = self.begun_by_worker();
+        let own_expiry = self.now + self.lease_expiry_delay();
+        let mut recorded_starts = self.recorded_starts_by_worker();
         for record in inheritance.lives {
-            let begun_here = begun.remove(&record.key()).unwrap_or_default();
-            // Also of workers that are not listed: their entries lapse while they are cut off together with an owner.
+            let starts_here = recorded_starts.remove(&record.key()).unwrap_or_default();
+            // This includes workers that are not listed: their entries expire while they are cut
+            // off together with an owner.
             let renewed_for = match record.not_leased {
                 true => Duration::ZERO,
                 false => inheritance.leases_renewed_for,
             };
-            self.inherit_life(record, begun_here, given_until + renewed_for);
+            self.add_inherited_life(record, starts_here, own_expiry + renewed_for);
         }
-        // Their workers' lives are over, and nobody kept how these runs ended.
-        for (worker, tasks) in begun {
-            self.note_crash(&worker, tasks.into_iter().map(Suspect::begun).collect());
+        // The incarnations of these workers are over, and no end of these runs was persisted.
+        for (worker, tasks) in recorded_starts {
+            self.record_crash(
+                &worker,
+                tasks.into_iter().map(Suspect::from_recorded_start).collect(),
+            );
         }
     }
 
-    /// Takes note that no owner before renewed leases after a moment.
-    pub(super) fn note_earlier_owners_stopped(&mut self, at: Time) {
-        let over_at = at + self.lapse_after();
+    /// Handles the news that no earlier owner has renewed leases since a given time.
+    pub(super) fn handle_earlier_owners_stopped(&mut self, at: Time) {
+        let expires_at = at + self.lease_expiry_delay();
         for &no in &self.unheard {
             if let Some(life) = self.lives.get_mut(no).filter(|life| !life.contested) {
-                life.lapses_at = life.lapses_at.min(over_at);
+                life.lapses_at = life.lapses_at.min(expires_at);
             }
         }
     }
 
-    /// The tasks that the owner before was about to start as ones that may crash their worker.
-    fn begun_by_worker(&self) -> BTreeMap<LifeKey, Vec<TaskName>> {
+    /// Returns the tasks that the previous owner had recorded as about to start because they may
+    /// crash their worker, by worker incarnation.
+    fn recorded_starts_by_worker(&self) -> BTreeMap<LifeKey, Vec<TaskName>> {
         let mut by_worker = BTreeMap::<_, Vec<_>>::new();
-        for (task, begun) in self.jobs.values().flat_map(Job::begun_tasks) {
-            by_worker.entry(begun.life()).or_default().push(task);
+        for (task, start) in self.jobs.values().flat_map(Job::begun_tasks) {
+            by_worker.entry(start.life()).or_default().push(task);
         }
         by_worker
     }
 
-    /// A life that an earlier owner used; where it answers is all we know.
-    fn inherit_life(&mut self, record: LifeRecord, begun_before: Vec<TaskName>, lapses_at: Time) {
+    /// Adds a worker incarnation used by an earlier owner. Only its address is known.
+    fn add_inherited_life(
+        &mut self,
+        record: LifeRecord,
+        begun_before: Vec<TaskName>,
+        lapses_at: Time,
+    ) {
         let leasing = if record.not_leased { Leasing::Ended } else { Leasing::Allowed };
         let entry = WorkerEntry {
             id: record.id,
@@ -113,6 +126,6 @@
             life.begun_before = begun_before;
         }
         self.unheard.insert(no);
-        self.contest(no);
+        self.mark_contested(no);
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/kept_starts.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/kept_starts.rs
@@ -1,9 +1,10 @@
-//! Starts that leave once it is kept that they do.
+//! Defers start orders until a record of them is persisted.
 //!
-//! Answers owners that die between a start and the news that its worker crashed: the next one would count nothing. The starts
-//! of a task under which a worker crashed are kept before they are ordered; so are, once after a takeover that found workers
-//! crashed, those of the tasks of which nobody knows whether they ran there. A start costs a row and waits for one
-//! batch; starts of other tasks are not kept.
+//! If an owner dies between a start and the detection that its worker crashed, the next owner would
+//! not count the crash. Starts of tasks under which a worker has crashed are therefore persisted
+//! before they are ordered. After a takeover that found crashed workers, the same applies once to
+//! tasks that may have been running there. A persisted start costs one row and waits for one batch;
+//! starts of other tasks are not persisted.
 
 use std::collections::BTreeMap;
 
@@ -17,13 +18,13 @@
     Scheduler,
 };
 
-/// Starts that wait until they are kept, by job.
+/// Starts that wait to be persisted, by job.
 #[derive(Debug, Default)]
 pub(super) struct KeptStarts {
     waiting: BTreeMap<JobId, Vec<KeptStart>>,
 }
 
-/// An order to start, and the worker that it goes to.
+/// A start order and the worker that it goes to.
 #[derive(Debug)]
 pub(super) struct KeptStart {
     life: LifeNo,
@@ -31,7 +32,7 @@
 }
 
 impl KeptStarts {
-    /// Takes out the starts that a batch keeps which holds the progress of some jobs.
+    /// Removes and returns the starts that a batch with the progress of the given jobs persists.
     pub(super) fn take(&mut self, jobs: &[JobId]) -> Vec<KeptStart> {
         if self.waiting.is_empty() {
             return Vec::new();
@@ -41,15 +42,15 @@
 }
 
 impl Scheduler {
-    /// Holds an order to start back until it is kept.
+    /// Defers a start order until it is persisted.
     pub(super) fn order_once_kept(&mut self, life: LifeNo, order: StartOrder) {
         let job = order.task.job;
         self.kept_starts.waiting.entry(job).or_default().push(KeptStart { life, order });
         self.pending.note_soon(job);
     }
 
-    /// Sends the starts of a batch that is kept, but for those that were taken back meanwhile.
-    pub(super) fn order_kept(&mut self, starts: Vec<KeptStart>) {
+    /// Sends the start orders that are now persisted, except those cancelled meanwhile.
+    pub(super) fn send_persisted_starts(&mut self, starts: Vec<KeptStart>) {
         for KeptStart { life: no, order } in starts {
             let life = self.lives.get_mut(no);
             let run = life.and_then(|life| life.run_mut(order.task, order.run));
--- a/crates/kitetrail-core/src/jobs/scheduler/leasing.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/leasing.rs
@@ -1,10 +1,12 @@
-//! On which workers the owner gives leases, as it keeps for the next one.
+//! Tracks on which workers the owner grants leases, and persists that for the next owner.
 //!
-//! A new owner has to outwait the one before at each worker that it can't reach, and all inherited jobs wait for that. Of a worker
-//! that fell silent the owner keeps that it gives no lease there any more, and gives none until the opposite is kept: there the next
-//! owner waits for the leases alone that were given before.
+//! A new owner must wait until the leases of its predecessor have expired on each worker that it
+//! can't reach, and all inherited jobs wait for that. For a worker that falls silent, the owner
+//! therefore persists that it grants no more leases there, and grants none until the opposite is
+//! persisted. The next owner then waits only for leases granted before.
 //!
-//! Only an owner that has heard the worker may say so: with its fencing token there, no earlier owner gives any either.
+//! Only an owner that has heard from the worker may record this: the worker then holds its fencing
+//! token, so no earlier owner grants leases either.
 
 use std::time::Duration;
 
@@ -13,24 +15,25 @@
     Scheduler,
 };
 
-/// A worker that is silent for so long is taken to be lost. Shorter silences are common where calls are lost; a longer wait leaves
-/// more of them to be outwaited if the owner is lost as well.
-const LEASES_END_AFTER: Duration = Duration::from_millis(1_200);
+/// A worker that is silent for this long is presumed lost. Shorter silences are common where
+/// requests get lost; a longer delay leaves more leases to wait for if the owner is lost too.
+const STOP_LEASING_AFTER: Duration = Duration::from_millis(1_200);
 
 impl Scheduler {
-    /// Gives no more leases on a worker that is silent for long, and has that kept.
-    pub(super) fn end_leasing_if_silent(&mut self, no: LifeNo) {
+    /// Stops granting leases on a worker that has been silent for a while, and persists that.
+    pub(super) fn stop_leasing_if_silent(&mut self, no: LifeNo) {
         let now = self.now;
         let Some(life) = self.lives.get_mut(no) else { return };
-        let is_long = life.silent_since.is_some_and(|at| now.since(at) >= LEASES_END_AFTER);
-        let is_ours = life.known && life.recorded && !life.contested;
-        if is_long && is_ours && life.leasing == Leasing::Allowed {
+        let silent_too_long =
+            life.silent_since.is_some_and(|at| now.since(at) >= STOP_LEASING_AFTER);
+        let may_record = life.known && life.recorded && !life.contested;
+        if silent_too_long && may_record && life.leasing == Leasing::Allowed {
             life.leasing = Leasing::Ended;
             self.pending.rewrite_life(no);
         }
     }
 
-    /// A worker answered: leases are given again once that is kept.
+    /// Resumes granting leases on a worker that answered, once that is persisted.
     pub(super) fn resume_leasing(&mut self, no: LifeNo) {
         let Some(life) = self.lives.get_mut(no) else { return };
         if life.leasing == Leasing::Ended {
@@ -39,8 +42,8 @@
         }
     }
 
-    /// Rows of lives leave for the store.
-    pub(super) fn note_lives_sent(&mut self, lives: &[LifeNo]) {
+    /// Records which leasing state was sent to the store for each incarnation.
+    pub(super) fn mark_lives_sent(&mut self, lives: &[LifeNo]) {
         for &no in lives {
             if let Some(life) = self.lives.get_mut(no) {
                 life.sent_not_leased = life.leasing == Leasing::Ended;
@@ -48,14 +51,14 @@
         }
     }
 
-    /// The row of a life is kept.
-    pub(super) fn note_life_kept(&mut self, no: LifeNo) {
+    /// Handles the confirmation that the row of an incarnation is persisted.
+    pub(super) fn mark_life_persisted(&mut self, no: LifeNo) {
         let Some(life) = self.lives.get_mut(no) else { return };
         life.recorded = true;
         if !life.sent_not_leased && life.leasing == Leasing::Resumed {
             life.leasing = Leasing::Allowed;
-            self.hold_soon(no, Duration::ZERO);
-            self.hold_if_due(no);
+            self.schedule_hold_within(no, Duration::ZERO);
+            self.send_hold_if_due(no);
             self.send_next_order(no);
             self.replan = true;
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/mod.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/mod.rs
@@ -1,4 +1,7 @@
-//! The scheduler of one fleet: jobs in, orders out.
+//! Implements the scheduler of one fleet: it takes job events and issues orders to workers.
+//!
+//! A worker that restarts keeps its id but gets a new incarnation. Each incarnation has its own
+//! runs, leases and counters here.
 
 mod backlog;
 mod commit;
@@ -46,7 +49,7 @@
 
 pub use self::inherit::Inheritance;
 use self::{
-    backlog::Started, crashed::Fallen, evacuation::ZoneEvacuation, kept_starts::KeptStarts,
+    backlog::Started, crashed::LostWorker, evacuation::ZoneEvacuation, kept_starts::KeptStarts,
     overload::Overload, pending::Pending, short_work::ShortWork, tails::TailModel,
 };
 use super::{
@@ -63,33 +66,34 @@
 };
 use crate::Time;
 
-/// Longest time that runs are leased. Long enough that a killed owner is replaced (about 2.5 s)
-/// and every worker heard before leases end; short, because what ran on a silent worker waits
-/// for it.
-const LEASE: Duration = Duration::from_millis(4_000);
-/// How much slower than ours a worker's clock may run, in percent, as the platform promises.
+/// The longest lease that this owner grants.
+///
+/// Long enough to replace a killed owner (about 2.5 s) and hear from every worker before leases
+/// expire. Short, because the tasks of a silent worker wait until its lease has expired.
+const LEASE_DURATION: Duration = Duration::from_millis(4_000);
+/// The most that a worker's clock may lag behind ours, in percent, as guaranteed by the platform.
 pub(super) const CLOCK_SLOW_PERCENT: u32 = 2;
-/// Added to the end of every lease before it counts as over: delays on our side.
-const LEASE_SLACK: Duration = Duration::from_millis(100);
-/// How often all jobs that wait are looked at, at most. A job that was just accepted does not wait
-/// for it.
-const PLACE_EVERY: Duration = Duration::from_millis(20);
-/// How many bits of a fencing token lie below the owner's epoch: room for a million raises, far
-/// more than one owner makes.
+/// The margin added to the end of every lease to cover delays on the owner's side.
+const LEASE_EXPIRY_MARGIN: Duration = Duration::from_millis(100);
+/// The minimum interval between two placement passes over all pending jobs. Newly accepted jobs are
+/// placed without waiting for it.
+const PLACEMENT_INTERVAL: Duration = Duration::from_millis(20);
+/// The number of bits of a fencing token below the owner's epoch. They allow a million increments,
+/// far more than one owner makes.
 const TOKEN_COUNTER_BITS: u32 = 20;
 
-/// What the scheduler is told of its surroundings.
+/// The settings that the scheduler gets from its environment.
 #[derive(Debug, Clone, Copy)]
 pub struct SchedulerSettings {
     /// The longest lease that workers grant.
     pub longest_lease: Duration,
-    /// How long the state of a job that ended is told.
+    /// How long the state of an ended job remains available.
     pub remember_ended: Duration,
-    /// How often workers renew their entries in the list.
+    /// The interval at which workers renew their entries in the worker list.
     pub worker_heartbeat: Duration,
 }
 
-/// Decides for one fleet.
+/// Makes the scheduling decisions for one fleet.
 #[derive(Debug)]
 pub struct Scheduler {
     settings: SchedulerSettings,
@@ -98,24 +102,26 @@
     now: Time,
     unix_ms: u64,
     jobs: BTreeMap<JobId, Job>,
-    /// Open jobs, in the order in which they are served.
+    /// Open jobs in scheduling order.
     open: BTreeSet<(u32, Time, JobId)>,
-    /// How jobs ended whose end is kept.
+    /// The outcomes of ended jobs whose end is persisted.
     ended_jobs: HashMap<JobId, Outcome>,
-    /// The same jobs, in the order of their end.
-    ended_in_order: BTreeSet<(u64, JobId)>,
+    /// The same jobs, ordered by end time.
+    ended_by_time: BTreeSet<(u64, JobId)>,
     queues: BTreeMap<QueueName, QueueTerms>,
     lives: Lives,
-    /// Entries that name a service which no queue uses: nothing is asked of their workers.
-    of_unused_services: BTreeMap<LifeId, WorkerEntry>,
-    /// Lives that the owner before used and that have not been heard or outwaited yet.
+    /// Entries whose service no queue uses. Their workers are not contacted.
+    unused_service_entries: BTreeMap<LifeId, WorkerEntry>,
+    /// Worker incarnations used by an earlier owner that have neither answered nor outlasted their
+    /// lease yet.
     unheard: BTreeSet<LifeNo>,
-    /// Some of those were found crashed: tasks of which nobody knows whether they ran there may have caused it.
+    /// Whether one of those crashed. Tasks that may have been running there unnoticed are then
+    /// possible causes.
     inherited_crashed: bool,
-    /// Workers whose lives are over of late.
-    fallen: Vec<Fallen>,
-    /// Until when the store was in trouble last, if it ever was.
-    store_trouble_until: Option<Time>,
+    /// Workers whose incarnation ended recently.
+    lost_workers: Vec<LostWorker>,
+    /// The end of the last known store outage, if there was one.
+    store_outage_until: Option<Time>,
     pending: Pending,
     kept_starts: KeptStarts,
     tails: TailModel,
@@ -123,16 +129,16 @@
     evacuation: ZoneEvacuation,
     overload: Overload,
     started: Started,
-    /// Something changed, so that tasks that wait may find a worker.
+    /// Whether something changed that may allow pending tasks to be placed.
     replan: bool,
-    /// When all jobs were looked at last.
-    placed_at: Time,
-    /// What is to be done, in order, gathered over one event.
+    /// The time of the last placement pass over all jobs.
+    last_placement_at: Time,
+    /// The actions to take, in order, collected while one event is handled.
     out: Vec<Action>,
 }
 
 impl Scheduler {
-    /// A scheduler for the owner with the given epoch.
+    /// Creates the scheduler of the owner with the given epoch.
     pub fn new(
         settings: SchedulerSettings,
         epoch: u64,
@@ -142,21 +148,21 @@
     ) -> Self {
         let mut scheduler = Self {
             settings,
-            lease: settings.longest_lease.min(LEASE),
+            lease: settings.longest_lease.min(LEASE_DURATION),
             epoch,
             now,
             unix_ms,
             jobs: BTreeMap::new(),
             open: BTreeSet::new(),
             ended_jobs: HashMap::new(),
-            ended_in_order: BTreeSet::new(),
+            ended_by_time: BTreeSet::new(),
             queues: BTreeMap::new(),
             lives: Lives::default(),
-            of_unused_services: BTreeMap::new(),
+            unused_service_entries: BTreeMap::new(),
             unheard: BTreeSet::new(),
             inherited_crashed: false,
-            fallen: Vec::new(),
-            store_trouble_until: None,
+            lost_workers: Vec::new(),
+            store_outage_until: None,
             pending: Pending::default(),
             kept_starts: KeptStarts::default(),
             tails: TailModel::default(),
@@ -165,42 +171,44 @@
             overload: Overload::default(),
             started: Started::default(),
             replan: true,
-            placed_at: Time::ZERO,
+            last_placement_at: Time::ZERO,
             out: Vec::new(),
         };
         scheduler.inherit(inheritance);
         scheduler
     }
 
-    /// Takes note of an event and returns what is to be done.
+    /// Handles an event and returns the actions to take.
     pub fn handle(&mut self, event: Event, now: Time, unix_ms: u64) -> Vec<Action> {
         self.now = self.now.max(now);
         self.unix_ms = unix_ms;
         match event {
             Event::Submit { request, job, queue, spec } => self.submit(request, job, queue, *spec),
             Event::Cancel { request, job } => self.cancel(request, job),
-            Event::Queues(queues) => self.set_queues(queues),
-            Event::Evacuated(zones) => self.set_evacuated(zones),
-            Event::Discovered(changes) => self.discover(changes),
-            Event::EarlierOwnersStopped { at } => self.note_earlier_owners_stopped(at),
-            Event::StoreTrouble { until } => self.note_store_trouble(until),
+            Event::Queues(queues) => self.update_queues(queues),
+            Event::Evacuated(zones) => self.set_evacuated_zones(zones),
+            Event::Discovered(changes) => self.handle_discovery(changes),
+            Event::EarlierOwnersStopped { at } => self.handle_earlier_owners_stopped(at),
+            Event::StoreTrouble { until } => self.record_store_outage(until),
             Event::OrderAnswered { life, order, answer } => {
-                self.order_answered(life, order, answer)
+                self.handle_order_answer(life, order, answer)
+            }
+            Event::Held { life, hold, sent_at, answer } => {
+                self.handle_hold_answer(life, hold, sent_at, answer)
             }
-            Event::Held { life, hold, sent_at, answer } => self.held(life, hold, sent_at, answer),
             Event::LateEnds { life, incarnation, ended } => {
-                self.note_late_ends(life, incarnation, &ended)
+                self.handle_late_ends(life, incarnation, &ended)
             }
-            Event::Committed(batch) => self.committed(batch),
+            Event::Committed(batch) => self.handle_committed(batch),
             Event::Lagged(lag) => self.note_lag(lag),
             Event::Tick => self.tick(),
         }
-        self.place_if_due();
+        self.place_jobs_if_due();
         self.commit_if_due();
         mem::take(&mut self.out)
     }
 
-    /// What callers are told of a job, `None` if there is none.
+    /// Returns the job state that callers see, or `None` if the job is unknown.
     pub fn state(&self, job: JobId) -> Option<JobState> {
         match self.ended_jobs.get(&job) {
             Some(Outcome::Completed) => Some(JobState::Completed),
@@ -212,12 +220,14 @@
         }
     }
 
-    /// How far its owner lags behind its events: the longest of late, fading.
+    /// Returns how far the owner lags behind its events: the recent maximum, which decays over
+    /// time.
     pub fn lag(&self) -> Duration {
         self.overload.lag()
     }
 
-    /// How many accepted jobs of each queue have not begun; queues with none are left out.
+    /// Returns the number of accepted jobs of each queue that have not started. Queues without any
+    /// are omitted.
     pub fn pending_by_queue(&self) -> BTreeMap<QueueName, u64> {
         let mut counts = BTreeMap::new();
         for job in self.open.iter().filter_map(|(_, _, id)| self.jobs.get(id)) {
@@ -244,17 +254,17 @@
         self.replan = true;
     }
 
-    /// Remembers how a job ended, which is kept for good.
-    fn insert_ended(&mut self, id: JobId, outcome: Outcome, ended_unix_ms: Option<u64>) {
+    /// Records the outcome of a job whose end is persisted.
+    fn record_ended_job(&mut self, id: JobId, outcome: Outcome, ended_unix_ms: Option<u64>) {
         self.ended_jobs.insert(id, outcome);
-        self.ended_in_order.insert((ended_unix_ms.unwrap_or(self.unix_ms), id));
+        self.ended_by_time.insert((ended_unix_ms.unwrap_or(self.unix_ms), id));
     }
 
-    fn place_if_due(&mut self) {
-        let due = self.replan && self.now.since(self.placed_at) >= PLACE_EVERY;
+    fn place_jobs_if_due(&mut self) {
+        let due = self.replan && self.now.since(self.last_placement_at) >= PLACEMENT_INTERVAL;
         if due && self.overload.starts_per_pass() > 0 {
             self.replan = false;
-            self.placed_at = self.now;
+            self.last_placement_at = self.now;
             self.place_all();
         }
     }
@@ -263,53 +273,53 @@
         self.jobs.get_mut(&name.job)?.task_mut(name)
     }
 
-    /// What was asked for of a task's step.
+    /// Returns the specification of a task's step.
     fn step_spec(&self, name: TaskName) -> Option<&StepSpec> {
         self.jobs.get(&name.job)?.step_spec(name.step)
     }
 
-    /// Makes a task avoid a worker when it is placed next.
+    /// Keeps the next placement of a task off a worker.
     fn avoid(&mut self, name: TaskName, no: LifeNo) {
         if let Some(task) = self.task_mut(name) {
             task.avoid = Some(no);
         }
     }
 
-    /// Writes to the log what is believed of a worker now.
-    fn note_belief(&mut self, no: LifeNo, belief: &'static str) {
+    /// Logs the current assumption about a worker's state.
+    fn log_worker_state(&mut self, no: LifeNo, belief: &'static str) {
         let Some(life) = self.lives.get(no) else { return };
         let worker = life.id().clone();
         let heard_ago_ms = life.heard_ago_ms(self.now);
         self.out.push(Action::Note(Note::Worker { worker, belief, heard_ago_ms }));
     }
 
-    /// The fencing token that a worker's life starts with under this owner.
-    fn first_token(&self) -> u64 {
+    /// Returns the fencing token that a worker incarnation starts with under this owner.
+    fn initial_token(&self) -> u64 {
         self.epoch << TOKEN_COUNTER_BITS
     }
 
-    /// How long after the last renewal a lease is certainly over.
-    fn lapse_after(&self) -> Duration {
-        self.lease + self.lease * CLOCK_SLOW_PERCENT / 100 + LEASE_SLACK
+    /// Returns the delay after the last renewal until a lease has certainly expired.
+    fn lease_expiry_delay(&self) -> Duration {
+        self.lease + self.lease * CLOCK_SLOW_PERCENT / 100 + LEASE_EXPIRY_MARGIN
     }
 
-    /// The same for the longest lease that workers grant.
-    fn lapse_after_longest(&self) -> Duration {
+    /// Returns the same delay for the longest lease that workers grant.
+    fn longest_lease_expiry_delay(&self) -> Duration {
         let longest = self.settings.longest_lease;
-        longest + longest * CLOCK_SLOW_PERCENT / 100 + LEASE_SLACK
+        longest + longest * CLOCK_SLOW_PERCENT / 100 + LEASE_EXPIRY_MARGIN
     }
 
     fn tick(&mut self) {
-        self.refuse_unsent();
-        self.begin_due_occurrences();
-        self.forget_old_jobs();
+        self.refuse_unsent_jobs();
+        self.start_due_occurrences();
+        self.remove_expired_jobs();
         let due = self.lives.iter().filter(|(_, life)| life.needs_check(self.now));
         for no in due.map(|(no, _)| no).collect::<Vec<_>>() {
             self.check_life(no);
         }
-        self.move_out_if_due();
+        self.evacuate_zones_if_due();
         self.tell_backlog_if_due();
-        // Back-offs and times set aside end without an event of their own.
+        // Back-offs and set-aside periods end without an event of their own.
         self.replan = true;
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/requests.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/requests.rs
@@ -1,4 +1,5 @@
-//! Callers' requests: jobs handed in and cancelled, queues, schedules and forgetting.
+//! Handles callers' requests: job submission and cancellation, queue updates, schedules and expiry
+//! of old jobs.
 
 use super::{
     super::{
@@ -13,7 +14,7 @@
 };
 
 impl Scheduler {
-    /// Takes a job, or answers that it is known or can't be kept.
+    /// Accepts a new job, or answers that it is already known or that it can't be accepted.
     pub(super) fn submit(
         &mut self,
         request: RequestNo,
@@ -47,13 +48,13 @@
         }
     }
 
-    /// Whether a new job is taken: its caller would be answered in time.
+    /// Returns whether a new job can be accepted, so that its caller is answered in time.
     fn takes_jobs(&self) -> bool {
         let lag = self.overload.lag();
         self.overload.takes_jobs() && !self.pending.keeps_too_late(lag, self.now)
     }
 
-    /// Cancels a job. The caller is answered once that is kept.
+    /// Cancels a job. The caller is answered once that is persisted.
     pub(super) fn cancel(&mut self, request: RequestNo, id: JobId) {
         match self.jobs.get_mut(&id) {
             None if self.ended_jobs.contains_key(&id) => {
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Puts the operators' queues in force, for open jobs as well.
-    pub(super) fn set_queues(&mut self, queues: Vec<QueueTerms>) {
+    /// Applies the operators' queue settings, also to open jobs.
+    pub(super) fn update_queues(&mut self, queues: Vec<QueueTerms>) {
         self.queues = queues.into_iter().map(|queue| (queue.name.clone(), queue)).collect();
         for job in self.jobs.values_mut().filter(|job| job.is_open()) {
             if let Some(queue) = self.queues.get(&job.queue.name) {
@@ -79,11 +80,11 @@
                 self.open.insert((job.queue.priority, job.due_at, job.id));
             }
         }
-        self.list_used_services();
+        self.list_newly_used_services();
         self.replan = true;
     }
 
-    /// Settles how a job ended and stops what still runs of it.
+    /// Sets the outcome of a job and stops its remaining runs.
     pub(super) fn end_job(&mut self, id: JobId, outcome: Outcome) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         self.open.remove(&(job.queue.priority, job.due_at, id));
@@ -101,15 +102,15 @@
             objective_ms: job.objective_ms(),
         }));
         self.pending.note_urgent(id);
-        self.forget_zone_needed(id);
-        // All that was placed of a job that is completed has ended, or is told to stop by now.
+        self.clear_zone_checks(id);
+        // All runs of a completed job have ended or are already being stopped.
         if outcome != Outcome::Completed {
-            self.stop_all_of(id);
+            self.stop_job_runs(id);
         }
     }
 
-    /// Refuses jobs that were not sent to the store yet, while it does not answer.
-    pub(super) fn refuse_unsent(&mut self) {
+    /// Refuses jobs that were not sent to the store yet if the store does not answer.
+    pub(super) fn refuse_unsent_jobs(&mut self) {
         if !self.pending.is_stuck(self.now) {
             return;
         }
@@ -123,8 +124,8 @@
         }
     }
 
-    /// Begins the times of schedules that fell due.
-    pub(super) fn begin_due_occurrences(&mut self) {
+    /// Starts the scheduled occurrences that are due.
+    pub(super) fn start_due_occurrences(&mut self) {
         let unix_ms = self.unix_ms;
         let scheduled = |job: &&mut Job| job.is_open() && job.spec.schedule.is_some();
         for job in self.jobs.values_mut().filter(scheduled) {
@@ -137,21 +138,21 @@
         }
     }
 
-    /// Forgets jobs that ended long ago.
-    pub(super) fn forget_old_jobs(&mut self) {
+    /// Removes jobs that ended longer ago than the retention time.
+    pub(super) fn remove_expired_jobs(&mut self) {
         let remembered_ms = self.settings.remember_ended.as_millis() as u64;
-        while let Some(&(ended_unix_ms, id)) = self.ended_in_order.first()
+        while let Some(&(ended_unix_ms, id)) = self.ended_by_time.first()
             && ended_unix_ms + remembered_ms <= self.unix_ms
         {
-            self.ended_in_order.pop_first();
+            self.ended_by_time.pop_first();
             self.ended_jobs.remove(&id);
             self.pending.forget(id);
         }
     }
 
-    fn stop_all_of(&mut self, id: JobId) {
-        let runs = self.lives.iter().flat_map(|(life, there)| {
-            let of_job = there.runs().iter().filter(move |(task, _)| task.job == id);
+    fn stop_job_runs(&mut self, id: JobId) {
+        let runs = self.lives.iter().flat_map(|(life, worker)| {
+            let of_job = worker.runs().iter().filter(move |(task, _)| task.job == id);
             of_job.map(move |(&task, run)| (life, task, run.run))
         });
         for (life, task, run) in runs.collect::<Vec<_>>() {
--- a/crates/kitetrail-core/src/jobs/scheduler/set_aside.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/set_aside.rs
@@ -1,62 +1,62 @@
-//! Workers that get no new work for a while.
+//! Sets workers aside, so that they get no new work for a while.
 
 use std::time::Duration;
 
 use super::{super::life::LifeNo, Scheduler};
 
-/// How long a worker that says it is not well gets no new work.
-const UNHEALTHY_PAUSE: Duration = Duration::from_millis(1_000);
-/// How long a worker that hangs gets no new work. Then it is tried again.
-const HANG_PAUSE: Duration = Duration::from_millis(3_000);
-/// After so many failed runs in a row a worker gets no new work for a while. One in 20 tasks fails
-/// by its own fault, so three in a row on a sound worker are rare.
-const FAILURES_TO_SET_ASIDE: u32 = 3;
-/// For how long, at first; it doubles each time.
-const SET_ASIDE: Duration = Duration::from_millis(2_000);
-/// At most. A worker that is well again must be found soon: the platform counts a task that lasts as
-/// lost when it waits for some 9 s beside room for it.
-const SET_ASIDE_MAX: Duration = Duration::from_millis(4_000);
-/// The most doublings that are worked out: more than [`SET_ASIDE_MAX`] allows, and few enough that
+/// How long a worker that reports itself unhealthy gets no new work.
+const UNHEALTHY_DURATION: Duration = Duration::from_millis(1_000);
+/// How long a worker whose runs make no progress gets no new work before it is tried again.
+const HANGING_DURATION: Duration = Duration::from_millis(3_000);
+/// The number of consecutive failed runs after which a worker is set aside. One in 20 tasks fails
+/// through its own fault, so three in a row are rare on a healthy worker.
+const CONSECUTIVE_FAILURE_LIMIT: u32 = 3;
+/// The initial duration; it doubles each time.
+const SET_ASIDE_DURATION: Duration = Duration::from_millis(2_000);
+/// The maximum duration. A recovered worker must be found soon: the platform counts a long-running
+/// task as lost if it waits about 9 s while there is room for it.
+const MAX_SET_ASIDE_DURATION: Duration = Duration::from_millis(4_000);
+/// The most doublings to compute: more than [`MAX_SET_ASIDE_DURATION`] allows, and few enough that
 /// the product does not overflow.
-const MOST_DOUBLINGS: u32 = 8;
+const MAX_DOUBLINGS: u32 = 8;
 
 impl Scheduler {
-    /// Sets a worker aside that says it is not well.
+    /// Sets aside a worker that reports itself unhealthy.
     pub(super) fn set_aside_unhealthy(&mut self, no: LifeNo) {
         if let Some(life) = self.lives.get_mut(no) {
-            life.set_aside_until = life.set_aside_until.max(Some(self.now + UNHEALTHY_PAUSE));
+            life.set_aside_until = life.set_aside_until.max(Some(self.now + UNHEALTHY_DURATION));
         }
     }
 
-    /// Sets a worker aside whose runs stand still.
+    /// Sets aside a worker whose runs make no progress.
     pub(super) fn set_aside_hanging(&mut self, no: LifeNo) {
         let now = self.now;
         let Some(life) = self.lives.get_mut(no) else { return };
-        let set_aside = life.set_aside_until.is_some_and(|until| until > now);
-        life.set_aside_until = life.set_aside_until.max(Some(now + HANG_PAUSE));
-        if !set_aside {
-            self.note_belief(no, "set aside: its runs stand still");
+        let already_set_aside = life.set_aside_until.is_some_and(|until| until > now);
+        life.set_aside_until = life.set_aside_until.max(Some(now + HANGING_DURATION));
+        if !already_set_aside {
+            self.log_worker_state(no, "set aside: its runs stand still");
         }
     }
 
-    /// Counts a failed run against its worker, and gives it no new work after too many.
+    /// Counts a failed run against its worker, and sets the worker aside after too many in a row.
     ///
-    /// Of a worker that is set aside already, more failures tell nothing new: they are of runs that
-    /// were started before.
-    pub(super) fn blame(&mut self, no: LifeNo) {
+    /// Further failures of a worker that is already set aside are ignored, since they belong to
+    /// runs that were started before.
+    pub(super) fn record_run_failure(&mut self, no: LifeNo) {
         let now = self.now;
         let Some(life) = self.lives.get_mut(no) else { return };
         life.failures += 1;
         let is_set_aside = life.set_aside_until.is_some_and(|until| until > now);
-        if life.failures < FAILURES_TO_SET_ASIDE || is_set_aside {
+        if life.failures < CONSECUTIVE_FAILURE_LIMIT || is_set_aside {
             return;
         }
-        let times = life.set_aside_times.min(MOST_DOUBLINGS);
-        let pause = (SET_ASIDE * 2_u32.pow(times)).min(SET_ASIDE_MAX);
-        life.set_aside_times = times + 1;
-        // One more failure after the pause is enough to set it aside again.
-        life.failures = FAILURES_TO_SET_ASIDE - 1;
+        let doublings = life.set_aside_times.min(MAX_DOUBLINGS);
+        let pause = (SET_ASIDE_DURATION * 2_u32.pow(doublings)).min(MAX_SET_ASIDE_DURATION);
+        life.set_aside_times = doublings + 1;
+        // After the pause, a single failure sets the worker aside again.
+        life.failures = CONSECUTIVE_FAILURE_LIMIT - 1;
         life.set_aside_until = Some(now + pause);
-        self.note_belief(no, "set aside: its runs fail");
+        self.log_worker_state(no, "set aside: its runs fail");
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/unkept_ends.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/unkept_ends.rs
@@ -1,51 +1,54 @@
-//! Ends of runs that workers repeat until they are told that they are kept.
+//! Tracks ends of runs that workers repeat until they are acknowledged as persisted.
 
 use std::collections::VecDeque;
 
 use super::super::life::LifeNo;
 
-/// An end that a worker told.
+/// An end reported by a worker.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ToldEnd {
     pub(super) life: LifeNo,
-    /// The worker's number of it.
+    /// The worker's number of the end.
     pub(super) number: u64,
-    /// Our sequence number: what it changed waits to be kept under this number or an older one.
+    /// Our sequence number. The changes caused by the end wait to be persisted under this number or
+    /// a lower one.
     seq: u64,
 }
 
-/// Ends of runs that are not kept, in the order in which they were told.
+/// Ends of runs that are not persisted, in the order in which they were reported.
 ///
-/// A worker repeats an end in each report until it is told that it is kept, and a report with an end comes at once. So
-/// the ends of one second must not wait for the records of the next: told only once nothing at all waited, they
-/// would pile up, and reading them take the time that the records need.
+/// A worker repeats an end in each report until it is acknowledged, and sends a report with an end
+/// at once. The ends of one second must therefore not wait for the records of the next. If ends
+/// were acknowledged only when nothing at all was waiting, they would pile up, and reading them
+/// would take the time needed to persist records.
 #[derive(Debug, Default)]
 pub(super) struct UnkeptEnds {
-    told: VecDeque<ToldEnd>,
+    reported: VecDeque<ToldEnd>,
     last_seq: u64,
 }
 
 impl UnkeptEnds {
-    /// How many ends are not kept.
+    /// Returns the number of ends that are not persisted.
     pub(super) fn len(&self) -> usize {
-        self.told.len()
+        self.reported.len()
     }
 
-    /// The sequence number of what the last end changed.
+    /// Returns the sequence number for the changes caused by the latest end.
     pub(super) fn last_seq(&self) -> u64 {
         self.last_seq
     }
 
-    /// Takes note of an end, before what it changes.
+    /// Records an end, before the changes that it causes.
     pub(super) fn push(&mut self, life: LifeNo, number: u64) {
         self.last_seq += 1;
-        self.told.push_back(ToldEnd { life, number, seq: self.last_seq });
+        self.reported.push_back(ToldEnd { life, number, seq: self.last_seq });
     }
 
-    /// Takes out the ends that are kept, if the oldest change that is not has a given number.
+    /// Removes and returns the persisted ends, given the number of the oldest change that is not
+    /// persisted.
     pub(super) fn take_kept(&mut self, oldest_unkept: Option<u64>) -> Vec<ToldEnd> {
         let is_unkept = |end: &ToldEnd| oldest_unkept.is_some_and(|oldest| oldest <= end.seq);
-        let kept = self.told.iter().position(is_unkept).unwrap_or(self.told.len());
-        self.told.drain(..kept).collect()
+        let kept = self.reported.iter().position(is_unkept).unwrap_or(self.reported.len());
+        self.reported.drain(..kept).collect()
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/unusable.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/unusable.rs
@@ -1,9 +1,10 @@
-//! Entries in the list of workers that name no worker to use.
+//! Handles entries in the worker list that do not identify a usable worker.
 //!
-//! An entry may be written by somebody else than its worker: without fields, with other ones, or for a service that
-//! nobody uses. Nothing is started on its worker until an entry comes that can be its own; workers
-//! renew theirs with each heartbeat. What runs there goes on: its worker still answers under the entry before, and
-//! only an answer, or a lease that is over, tells that a run ended.
+//! An entry may have been written by someone other than its worker: with missing or wrong fields,
+//! or for a service that nobody uses. Nothing is started on such a worker until a plausible entry
+//! arrives; workers renew their entries with each heartbeat. Existing runs continue: the worker
+//! still answers at its previous address, and only an answer or an expired lease shows that a run
+//! ended.
 
 use std::mem;
 
@@ -17,44 +18,45 @@
 };
 
 impl Scheduler {
-    /// The entry of a worker can't be its own, or is not whole.
-    pub(super) fn note_unusable(&mut self, id: &LifeId) {
-        self.of_unused_services.remove(id);
+    /// Handles an entry that is incomplete or can't have been written by its worker.
+    pub(super) fn handle_unusable_entry(&mut self, id: &LifeId) {
+        self.unused_service_entries.remove(id);
         for no in self.lives.of_worker(id).to_vec() {
-            self.note_life_unusable(no);
+            self.mark_life_unusable(no);
         }
     }
 
-    fn note_life_unusable(&mut self, no: LifeNo) {
+    fn mark_life_unusable(&mut self, no: LifeNo) {
         let Some(life) = self.lives.get_mut(no) else { return };
         if life.listing == Listing::Unusable {
             return;
         }
         life.listing = Listing::Unusable;
-        self.note_belief(no, "not used, its entry can't be its own");
+        self.log_worker_state(no, "not used, its entry can't be its own");
     }
 
-    /// Whether a worker runs a service that no queue uses.
-    pub(super) fn serves_nobody(&self, entry: &WorkerEntry) -> bool {
-        let uses = |service: &str| service == entry.service;
-        let configured = self.queues.values().any(|queue| uses(&queue.service));
-        let open = || self.jobs.values().any(|job| job.is_open() && uses(&job.queue.service));
-        // Before the first configuration nothing is known of services.
-        !self.queues.is_empty() && !configured && !open()
+    /// Returns whether a worker runs a service that no queue uses.
+    pub(super) fn has_unused_service(&self, entry: &WorkerEntry) -> bool {
+        let is_same_service = |service: &str| service == entry.service;
+        let configured = self.queues.values().any(|queue| is_same_service(&queue.service));
+        let has_open_job =
+            || self.jobs.values().any(|job| job.is_open() && is_same_service(&job.queue.service));
+        // Before the first configuration, the services in use are unknown.
+        !self.queues.is_empty() && !configured && !has_open_job()
     }
 
-    /// The entry of a worker names a service that no queue uses.
-    pub(super) fn note_unused_service(&mut self, entry: WorkerEntry) {
-        self.note_unusable(&entry.id);
-        self.of_unused_services.insert(entry.id.clone(), entry);
+    /// Handles an entry whose service no queue uses.
+    pub(super) fn handle_unused_service(&mut self, entry: WorkerEntry) {
+        self.handle_unusable_entry(&entry.id);
+        self.unused_service_entries.insert(entry.id.clone(), entry);
     }
 
-    /// Looks again at entries whose service no queue used: the queues are other ones now.
-    pub(super) fn list_used_services(&mut self) {
-        for (_, entry) in mem::take(&mut self.of_unused_services) {
-            match self.serves_nobody(&entry) {
-                true => drop(self.of_unused_services.insert(entry.id.clone(), entry)),
-                false => self.listed(entry),
+    /// Rechecks entries with an unused service after the queues have changed.
+    pub(super) fn list_newly_used_services(&mut self) {
+        for (_, entry) in mem::take(&mut self.unused_service_entries) {
+            match self.has_unused_service(&entry) {
+                true => drop(self.unused_service_entries.insert(entry.id.clone(), entry)),
+                false => self.handle_listed_entry(entry),
             }
         }
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/workers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/workers.rs
@@ -1,4 +1,4 @@
-//! The list of workers and their lives.
+//! Maintains the list of workers and their incarnations.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,37 +14,37 @@
 };
 use crate::Time;
 
-/// What is done so far is not moved off a worker that is about to leave, in percent: it has two
-/// seconds at least.
-const STAYS_ABOVE_PERCENT: u32 = 70;
-/// How long after the end of a lease an owner that is late itself still waits for an answer that it may not have
-/// read. What waits longer is worth more elsewhere.
-const LATE_ANSWERS_WITHIN: Duration = Duration::from_millis(2_500);
-/// How often room is looked for elsewhere for what runs on a worker that is about to leave. It has two
-/// seconds at least, and each look scores every worker.
-const EVACUATE_EVERY: Duration = Duration::from_millis(250);
+/// A run whose progress is above this, in percent, stays on a worker that is about to leave. The
+/// worker remains for at least two seconds.
+const MAX_PERCENT_TO_MOVE: u32 = 70;
+/// How long after a lease has expired a lagging owner still waits for answers that it may not have
+/// read. Work that waits longer is better restarted elsewhere.
+const LATE_ANSWER_GRACE: Duration = Duration::from_millis(2_500);
+/// The interval at which other placements are sought for the runs of a worker that is about to
+/// leave. It remains for at least two seconds, and each search scores every worker.
+const EVACUATION_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Scheduler {
-    /// Takes note of changes in the list of workers.
-    pub(super) fn discover(&mut self, changes: Vec<Discovery>) {
+    /// Handles changes in the list of workers.
+    pub(super) fn handle_discovery(&mut self, changes: Vec<Discovery>) {
         for change in changes {
             match change {
-                Discovery::Listed(entry) if self.serves_nobody(&entry) => {
-                    self.note_unused_service(*entry)
+                Discovery::Listed(entry) if self.has_unused_service(&entry) => {
+                    self.handle_unused_service(*entry)
                 }
-                Discovery::Listed(entry) => self.listed(*entry),
-                Discovery::Unusable(id) => self.note_unusable(&id),
+                Discovery::Listed(entry) => self.handle_listed_entry(*entry),
+                Discovery::Unusable(id) => self.handle_unusable_entry(&id),
                 Discovery::Gone { id, silent_for } => {
-                    self.of_unused_services.remove(&id);
-                    self.unlisted(&id, silent_for);
+                    self.unused_service_entries.remove(&id);
+                    self.handle_unlisted(&id, silent_for);
                 }
-                Discovery::Whole => self.unlist_untold(),
+                Discovery::Whole => self.mark_unread_unlisted(),
             }
         }
         self.replan = true;
     }
 
-    /// A life answered a hold sent at a moment: lives at its place from before that are over.
+    /// Ends earlier incarnations at the place of one that answered a hold sent at a given time.
     pub(super) fn end_earlier_lives(&mut self, no: LifeNo, sent_at: Time, report: &Report) {
         let Some(life) = self.lives.get(no) else { return };
         let entry = Arc::clone(&life.entry);
@@ -55,88 +55,89 @@
             .map(|(no, other)| (no, other.id() == &entry.id));
         for (earlier, same_id) in earlier.collect::<Vec<_>>() {
             if same_id {
-                self.take_over_runs(earlier, no, report);
-                self.note_restarted(earlier, no);
+                self.transfer_runs(earlier, no, report);
+                self.log_worker_restart(earlier, no);
             }
             let end = if same_id { LifeEnd::StartedAgain } else { LifeEnd::LaterAnswers };
             self.end_life(earlier, end);
         }
     }
 
-    /// Everything that ran in this life is over for good.
+    /// Ends a worker incarnation and drops all of its runs for good.
     ///
-    /// Of a worker that crashed no end is reported, so what crashed it is worked out here: a run that is lost with its
-    /// worker may be what its worker was lost by.
+    /// A crashed worker reports no ends, so the cause of the crash is derived here: a run lost with
+    /// its worker may have caused the loss.
     pub(super) fn end_life(&mut self, no: LifeNo, end: LifeEnd) {
-        self.note_belief(no, end.why());
+        self.log_worker_state(no, end.why());
         let suspects = self.crash_suspects(no, end);
-        self.give_up_runs(no, end.why());
+        self.drop_all_runs(no, end.why());
         let Some(life) = self.lives.remove(no) else { return };
         self.inherited_crashed |= self.unheard.remove(&no);
-        self.note_fallen(&life);
-        self.note_crash(&life.entry.key(), suspects);
+        self.record_lost_worker(&life);
+        self.record_crash(&life.entry.key(), suspects);
         self.pending.end_life(no, life.entry.key(), life.recorded);
-        self.settle_contest(life.id());
+        self.resolve_contest(life.id());
         self.replan = true;
     }
 
-    /// What time alone changes in a life: leases that ran out, holds that are due.
+    /// Applies time-based changes to an incarnation: expired leases and due holds.
     pub(super) fn check_life(&mut self, no: LifeNo) {
-        self.end_leasing_if_silent(no);
-        let is_over = self.silent_lease_is_over(no);
+        self.stop_leasing_if_silent(no);
+        let lease_has_expired = self.silent_lease_has_expired(no);
         let Some(life) = self.lives.get_mut(no) else { return };
-        let outwaited = self.now.since(life.lapses_at) >= LATE_ANSWERS_WITHIN;
-        match is_over {
+        let grace_is_over = self.now.since(life.lapses_at) >= LATE_ANSWER_GRACE;
+        match lease_has_expired {
             true if life.is_missing() => {
                 return self.end_life(no, LifeEnd::Gone);
             }
-            // What its runs came to may be told in answers that are here, unread: a late owner asks again.
-            true if life.silent_for_sure || outwaited => {
+            // The ends of its runs may be in answers that were received but not read, so a lagging
+            // owner polls again.
+            true if life.silent_for_sure || grace_is_over => {
                 self.inherited_crashed |= self.unheard.remove(&no);
-                self.give_up_silent(no);
+                self.drop_runs_of_silent_worker(no);
             }
             _ => {}
         }
-        self.hold_if_due(no);
-        self.evacuate(no);
+        self.send_hold_if_due(no);
+        self.evacuate_worker(no);
     }
 
-    /// Moves what would be lost with a worker that is about to leave, where there is room for it.
-    fn evacuate(&mut self, no: LifeNo) {
+    /// Moves the runs that would be lost with a leaving worker, as capacity elsewhere allows.
+    fn evacuate_worker(&mut self, no: LifeNo) {
         let now = self.now;
         let Some(life) = self.lives.get_mut(no).filter(|life| life.is_leaving(now)) else {
             return;
         };
-        if life.evacuated_at.is_some_and(|at| now.since(at) < EVACUATE_EVERY) {
+        if life.evacuated_at.is_some_and(|at| now.since(at) < EVACUATION_INTERVAL) {
             return;
         }
         life.evacuated_at = Some(now);
-        let leaves = |run: &RunThere| {
-            let saved = run.keeps_progress && run.percent < STAYS_ABOVE_PERCENT;
+        let must_move = |run: &RunThere| {
+            let saved = run.keeps_progress && run.percent < MAX_PERCENT_TO_MOVE;
             !run.stopping && run.is_running() && (run.lasts || saved)
         };
-        let runs = life.runs().iter().filter(|(_, run)| leaves(run));
+        let runs = life.runs().iter().filter(|(_, run)| must_move(run));
         for (task, run) in runs.map(|(&task, run)| (task, run.run)).collect::<Vec<_>>() {
             let Some(spec) = self.step_spec(task).cloned() else { continue };
-            if self.may_leave(no, task) && self.choose(task, &spec, &[]).is_some() {
-                self.move_run(no, task, run, "moved: its worker is about to leave");
+            if self.may_move_run(no, task) && self.choose(task, &spec, &[]).is_some() {
+                self.move_run(no, task, run, "moved: its worker is leaving");
             }
         }
     }
 
-    pub(super) fn listed(&mut self, entry: WorkerEntry) {
-        self.of_unused_services.remove(&entry.id);
-        match self.life_of_entry(&entry) {
-            Some(no) => self.listed_known(no, entry),
-            None => self.listed_new(entry),
+    pub(super) fn handle_listed_entry(&mut self, entry: WorkerEntry) {
+        self.unused_service_entries.remove(&entry.id);
+        match self.find_life_for_entry(&entry) {
+            Some(no) => self.update_listed_life(no, entry),
+            None => self.add_listed_life(entry),
         }
     }
 
-    /// A life that is known stands in the list, perhaps with another entry.
+    /// Updates a known incarnation from its list entry, which may have changed.
     ///
-    /// A life that leaves does not come back: an entry that says otherwise was written before and came
-    /// late.
-    fn listed_known(&mut self, no: LifeNo, mut entry: WorkerEntry) {
+    /// A draining incarnation never returns to service: an entry that says otherwise was written
+    /// earlier and arrived late.
+    fn update_listed_life(&mut self, no: LifeNo, mut entry: WorkerEntry) {
         let Some(life) = self.lives.get_mut(no) else { return };
         entry.draining |= life.entry.draining;
         entry.incarnation = life.entry.incarnation;
@@ -151,37 +152,39 @@
         life.entry = Arc::new(entry);
         life.room = None;
         self.lives.note_listed(no);
-        self.note_zone(no);
+        self.update_zone_status(no);
         if shrank {
             self.take_back_unfit(no);
         }
         if let Some(belief) = belief {
-            self.note_belief(no, belief);
+            self.log_worker_state(no, belief);
         }
     }
 
-    /// A life that is new stands in the list.
+    /// Adds a new incarnation from its list entry.
     ///
-    /// That proves nothing of other lives at its place: entries of a life that is over may come after
-    /// those of the one that followed it. Which of them lives, answers to holds tell.
-    fn listed_new(&mut self, entry: WorkerEntry) {
-        // A worker that is new to the list has been leased by nobody else, or its record says so.
-        let fell_of_late = self.has_fallen(&entry.address);
+    /// The entry does not prove that other incarnations at its place are over: entries of an ended
+    /// incarnation may arrive after those of its successor. Answers to holds show which of them are
+    /// alive.
+    fn add_listed_life(&mut self, entry: WorkerEntry) {
+        // No other owner has leased on a worker that is new to the list, or the worker's record
+        // would say so.
+        let fell_of_late = self.has_lost_worker_at(&entry.address);
         let no = self.insert_life(entry, self.now);
         if let Some(life) = self.lives.get_mut(no) {
             life.fell_of_late = fell_of_late;
         }
         self.pending.add_life(no);
-        self.note_belief(no, "listed");
-        self.contest(no);
-        self.hold_if_due(no);
+        self.log_worker_state(no, "listed");
+        self.mark_contested(no);
+        self.send_hold_if_due(no);
     }
 
     pub(super) fn insert_life(&mut self, entry: WorkerEntry, lapses_at: Time) -> LifeNo {
-        let before = self.token_of_fallen(&entry.id);
-        let token = before.map_or(self.first_token(), |token| token + 1);
+        let lost_token = self.lost_worker_token(&entry.id);
+        let token = lost_token.map_or(self.initial_token(), |token| token + 1);
         let no = self.lives.push(Life::new(entry, token, lapses_at, self.now));
-        self.note_zone(no);
+        self.update_zone_status(no);
         no
     }
 }
