--- a/crates/kitetrail-core/src/jobs/scheduler/commit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/commit.rs
@@ -51,8 +51,8 @@
                 self.finish_persisted_job(id);
             }
         }
-        for no in batch.lives {
-            self.mark_life_persisted(no);
+        for life_no in batch.lives {
+            self.mark_life_persisted(life_no);
         }
         self.send_persisted_starts(batch.starts);
         self.acknowledge_persisted_ends();
--- a/crates/kitetrail-core/src/jobs/scheduler/confirmation.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/confirmation.rs
@@ -13,9 +13,9 @@
 
 impl Scheduler {
     /// Returns whether a worker is silent and its lease has expired, whichever owner renewed it.
-    pub(super) fn silent_lease_has_expired(&mut self, no: LifeNo) -> bool {
+    pub(super) fn silent_lease_has_expired(&mut self, life_no: LifeNo) -> bool {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(no) else { return false };
+        let Some(life) = self.lives.get_mut(life_no) else { return false };
         if life.silent == 0 || life.lapses_at > now {
             return false;
         }
@@ -28,7 +28,7 @@
         self.pending.want_confirmation_since(expired_at);
         if newly_unconfirmed {
             self.log_worker_state(
-                no,
+                life_no,
                 "silent, lease expired, ownership not confirmed by the store",
             );
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
@@ -61,7 +61,7 @@
 /// A worker that fell silent and whose incarnation has ended.
 #[derive(Debug)]
 pub(super) struct LostWorker {
-    at: Time,
+    lost_at: Time,
     worker: LifeId,
     address: String,
     /// The highest fencing token sent, or about to be sent, to the worker.
@@ -71,8 +71,8 @@
 impl Scheduler {
     /// Returns the runs that may have crashed a worker whose incarnation ended; empty if it did not
     /// crash.
-    pub(super) fn crash_suspects(&self, no: LifeNo, end: LifeEnd) -> Vec<Suspect> {
-        let Some(life) = self.lives.get(no).filter(|life| !life.entry.draining) else {
+    pub(super) fn crash_suspects(&self, life_no: LifeNo, end: LifeEnd) -> Vec<Suspect> {
+        let Some(life) = self.lives.get(life_no).filter(|life| !life.entry.draining) else {
             return Vec::new();
         };
         let recorded = life.begun_before.iter().copied().map(Suspect::from_recorded_start);
@@ -99,8 +99,8 @@
     /// A crash is confirmed only once another incarnation answers or the worker's entry has
     /// expired. Tasks whose starts are persisted as possible crash causes don't wait for that: a
     /// worker may take longer to return than two more attempts.
-    pub(super) fn drop_runs_of_silent_worker(&mut self, no: LifeNo) {
-        let Some(life) = self.lives.get_mut(no) else { return };
+    pub(super) fn drop_runs_of_silent_worker(&mut self, life_no: LifeNo) {
+        let Some(life) = self.lives.get_mut(life_no) else { return };
         let worker = life.entry.key();
         let recorded =
             mem::take(&mut life.begun_before).into_iter().map(Suspect::from_recorded_start);
@@ -110,10 +110,10 @@
             job.and_then(|job| job.task(suspect.task)).is_some_and(|task| task.watched)
         };
         let (watched, others) = suspects.into_iter().partition::<Vec<_>, _>(is_watched);
-        if let Some(life) = self.lives.get_mut(no) {
+        if let Some(life) = self.lives.get_mut(life_no) {
             life.suspects.extend(others);
         }
-        self.drop_all_runs(no, "its worker is silent and its lease has expired");
+        self.drop_all_runs(life_no, "its worker is silent and its lease has expired");
         self.record_crash(&worker, watched);
     }
 
@@ -136,7 +136,7 @@
         if task.crashes.runs_alone() {
             task.not_before = Some(now + CRASH_BACKOFF * 2_u32.pow(crashes - 1));
         }
-        let given_up = task.crashes.is_given_up();
+        let is_given_up = task.crashes.is_given_up();
         if task.crashes.drops_checkpoint() {
             job.drop_checkpoint(name);
         }
@@ -147,7 +147,7 @@
             crashes,
         }));
         self.pending.note(name.job);
-        if given_up {
+        if is_given_up {
             self.fail_crashing_job(name);
         }
     }
@@ -162,14 +162,14 @@
 
     /// Checks the suspects that a worker reports as running. After a while others may run beside
     /// them, and later they are cleared.
-    pub(super) fn check_suspects(&mut self, no: LifeNo) {
-        let Some(life) = self.lives.get(no) else { return };
+    pub(super) fn check_suspects(&mut self, life_no: LifeNo) {
+        let Some(life) = self.lives.get(life_no) else { return };
         let suspects = life.runs().iter().filter(|(_, run)| run.suspected);
         let confirmed =
             suspects.filter_map(|(&task, run)| Some((task, run.run, life.known_to_run(run)?)));
         for (task, run, ran) in confirmed.collect::<Vec<_>>() {
             let cleared = self.clear_suspect(task, ran);
-            let Some(life) = self.lives.get_mut(no) else { return };
+            let Some(life) = self.lives.get_mut(life_no) else { return };
             let Some(reported_run) = life.run_mut(task, run) else { continue };
             reported_run.suspected &= !cleared;
             reported_run.alone &= ran < ISOLATION_PERIOD && !cleared;
@@ -192,24 +192,25 @@
 
     /// Returns whether several other workers fell silent at about the same time as this one.
     fn lost_with_others(&self, life: &Life) -> bool {
-        let fell_at = life.silent_since.unwrap_or(self.now);
-        let together = |at: Time| {
-            at.since(fell_at) < SIMULTANEOUS_LOSS_WINDOW
-                && fell_at.since(at) < SIMULTANEOUS_LOSS_WINDOW
+        let silent_since = life.silent_since.unwrap_or(self.now);
+        let is_simultaneous = |time: Time| {
+            time.since(silent_since) < SIMULTANEOUS_LOSS_WINDOW
+                && silent_since.since(time) < SIMULTANEOUS_LOSS_WINDOW
         };
         let others = self.lives.values().filter(|other| other.id() != life.id());
-        let silent = others.filter_map(|other| other.silent_since).filter(|&at| together(at));
-        let over = self.lost_workers.iter().filter(|lost| together(lost.at));
-        silent.count() + over.count() > MAX_INDEPENDENT_LOSSES
+        let silent =
+            others.filter_map(|other| other.silent_since).filter(|&time| is_simultaneous(time));
+        let ended = self.lost_workers.iter().filter(|lost| is_simultaneous(lost.lost_at));
+        silent.count() + ended.count() > MAX_INDEPENDENT_LOSSES
     }
 
     /// Records a lost worker, to detect simultaneous losses and for its later incarnations.
     pub(super) fn record_lost_worker(&mut self, life: &Life) {
         let now = self.now;
-        self.lost_workers.retain(|lost| now.since(lost.at) < LOST_WORKER_RETENTION);
-        let at = life.silent_since.unwrap_or(now);
+        self.lost_workers.retain(|lost| now.since(lost.lost_at) < LOST_WORKER_RETENTION);
+        let lost_at = life.silent_since.unwrap_or(now);
         let (worker, address) = (life.id().clone(), life.entry.address.clone());
-        self.lost_workers.push(LostWorker { at, worker, address, token: life.token });
+        self.lost_workers.push(LostWorker { lost_at, worker, address, token: life.token });
     }
 
     /// Returns the highest fencing token of a worker's recently ended incarnations.
--- a/crates/kitetrail-core/src/jobs/scheduler/ends.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/ends.rs
@@ -23,11 +23,11 @@
 
 impl Scheduler {
     /// Handles an end that a worker reports. Repeated reports are ignored.
-    pub(super) fn handle_run_end(&mut self, no: LifeNo, end: &RunEnd) {
+    pub(super) fn handle_run_end(&mut self, life_no: LifeNo, end: &RunEnd) {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(no) else { return };
+        let Some(life) = self.lives.get_mut(life_no) else { return };
         if end.number <= life.ends_seen {
-            return self.log_ignored_end(no, end);
+            return self.log_ignored_end(life_no, end);
         }
         life.ends_seen = end.number;
         let ended = life.remove_run(end.task, end.run);
@@ -37,40 +37,40 @@
             let cpu_millis = run.gauge.unwrap_or(run.size.cpu_millis.0);
             life.just_ended.push(JustEnded { image: run.image, cpu_millis, at: now });
         }
-        self.pending.note_end(no, end.number);
+        self.pending.note_end(life_no, end.number);
         self.record_duration(end.task, run_duration_ms);
-        self.apply_run_end(no, end);
+        self.apply_run_end(life_no, end);
     }
 
     /// Handles ends of an earlier incarnation of a worker that arrive in a late answer.
     ///
     /// The ends are valid regardless of who reports them, but their numbers belong to the earlier
     /// incarnation only.
-    pub(super) fn handle_ends_of_earlier_incarnation(&mut self, no: LifeNo, ended: &[RunEnd]) {
+    pub(super) fn handle_ends_of_earlier_incarnation(&mut self, life_no: LifeNo, ended: &[RunEnd]) {
         for end in ended {
-            self.apply_run_end(no, end);
+            self.apply_run_end(life_no, end);
         }
     }
 
     /// Applies the end of a run to its task and its job.
-    fn apply_run_end(&mut self, no: LifeNo, end: &RunEnd) {
-        let Some(worker) = self.lives.get(no).map(|life| life.id().clone()) else { return };
+    fn apply_run_end(&mut self, life_no: LifeNo, end: &RunEnd) {
+        let Some(worker) = self.lives.get(life_no).map(|life| life.id().clone()) else { return };
         let note = Note::RunEnded { task: end.task, run: end.run, worker, how: end.how };
         self.out.push(Action::Note(note));
         self.replan = true;
-        self.remove_placement(end.task, Placement { life: no, run: end.run });
+        self.remove_placement(end.task, Placement { life: life_no, run: end.run });
         self.update_checkpoint(end);
         match end.how {
-            HowEnded::Done => self.complete_task(no, end.task),
-            HowEnded::Failed => self.record_failed_run(no, end),
+            HowEnded::Done => self.complete_task(life_no, end.task),
+            HowEnded::Failed => self.record_failed_run(life_no, end),
             HowEnded::Stopped | HowEnded::Lapsed | HowEnded::Broken | HowEnded::Alone => {}
         }
     }
 
     /// Logs an end whose number was already seen although its run is considered active. A run whose
     /// end is merely repeated was removed when the end was first reported.
-    fn log_ignored_end(&mut self, no: LifeNo, end: &RunEnd) {
-        let Some(life) = self.lives.get(no) else { return };
+    fn log_ignored_end(&mut self, life_no: LifeNo, end: &RunEnd) {
+        let Some(life) = self.lives.get(life_no) else { return };
         if life.runs().get(&end.task).is_some_and(|active_run| active_run.run == end.run) {
             let RunEnd { task, run, number, .. } = *end;
             let (worker, seen) = (life.id().clone(), life.ends_seen);
@@ -96,8 +96,8 @@
         }
     }
 
-    fn complete_task(&mut self, no: LifeNo, name: TaskName) {
-        if let Some(life) = self.lives.get_mut(no) {
+    fn complete_task(&mut self, life_no: LifeNo, name: TaskName) {
+        if let Some(life) = self.lives.get_mut(life_no) {
             life.failures = 0;
             life.set_aside_times = 0;
         }
@@ -124,10 +124,10 @@
         }
     }
 
-    fn record_failed_run(&mut self, no: LifeNo, end: &RunEnd) {
+    fn record_failed_run(&mut self, life_no: LifeNo, end: &RunEnd) {
         let now = self.now;
         let name = end.task;
-        self.record_run_failure(no);
+        self.record_run_failure(life_no);
         let Some(job) = self.jobs.get_mut(&name.job).filter(|job| job.is_open()) else { return };
         let Some(spec) = job.step_spec(name.step) else { return };
         let (gang, lasts, max_attempts) = (spec.gang, spec.lasts, job.queue.max_attempts);
@@ -135,7 +135,7 @@
         if !lasts {
             task.failed_runs.insert(end.run);
         }
-        task.avoid = Some(no);
+        task.avoid = Some(life_no);
         let failed = task.failed_runs.len() as u32;
         task.not_before = Some(now + RETRY_BACKOFF * failed.max(1));
         let failed = if gang { job.failed_runs_of_gang(name.step_name()) } else { failed };
--- a/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
@@ -53,19 +53,19 @@
         }
         self.evacuation.zones = zones;
         self.evacuation.checked_steps.clear();
-        for no in self.lives.numbers() {
-            self.update_zone_status(no);
+        for life_no in self.lives.numbers() {
+            self.update_zone_status(life_no);
         }
         self.replan = true;
     }
 
     /// Updates whether a worker is in an evacuated zone.
-    pub(super) fn update_zone_status(&mut self, no: LifeNo) {
-        let Some(life) = self.lives.get_mut(no) else { return };
+    pub(super) fn update_zone_status(&mut self, life_no: LifeNo) {
+        let Some(life) = self.lives.get_mut(life_no) else { return };
         let was_evacuated = life.zone_evacuated;
         life.zone_evacuated = self.evacuation.zones.contains(&life.entry.zone);
         if life.zone_evacuated && !was_evacuated {
-            self.cancel_unsent_starts(no);
+            self.cancel_unsent_starts(life_no);
         }
     }
 
@@ -79,14 +79,14 @@
     }
 
     /// Cancels orders to start that have not been sent.
-    fn cancel_unsent_starts(&mut self, no: LifeNo) {
-        let Some(life) = self.lives.get(no) else { return };
+    fn cancel_unsent_starts(&mut self, life_no: LifeNo) {
+        let Some(life) = self.lives.get(life_no) else { return };
         let start = |order: &Order| match order {
             Order::Start(start) => Some((start.task, start.run)),
             Order::Stop { .. } | Order::Pace { .. } => None,
         };
         for (task, run) in life.orders.iter().filter_map(start).collect::<Vec<_>>() {
-            self.stop_run(no, task, run);
+            self.stop_run(life_no, task, run);
             if self.step_spec(task).is_some_and(|spec| spec.gang) {
                 self.stop_gang_members(task, run);
             }
@@ -101,8 +101,8 @@
         let members = (0..).zip(&step.tasks).flat_map(|(index, task)| {
             task.placed.iter().map(move |placed| (placed.life, name.step_name().task(index)))
         });
-        for (no, member) in members.collect::<Vec<_>>() {
-            self.stop_run(no, member, run);
+        for (life_no, member) in members.collect::<Vec<_>>() {
+            self.stop_run(life_no, member, run);
         }
     }
 
@@ -113,15 +113,10 @@
             return;
         }
         self.evacuation.last_move_at = self.now;
-        for no in self.workers_to_evacuate().into_iter().take(MAX_WORKERS_PER_SEARCH) {
-            self.evacuation.last_searched = Some(no);
-            if let Some((task, run)) = self.find_run_to_move(no) {
-                return self.move_run(
-                    no,
-                    task,
-                    run,
-                    "moved: its availability zone is being evacuated",
-                );
+        for life_no in self.workers_to_evacuate().into_iter().take(MAX_WORKERS_PER_SEARCH) {
+            self.evacuation.last_searched = Some(life_no);
+            if let Some((task, run)) = self.find_run_to_move(life_no) {
+                return self.move_run(life_no, task, run, "moved: its zone is being evacuated");
             }
         }
     }
@@ -131,15 +126,15 @@
         let last = self.evacuation.last_searched;
         let leaves = |life: &Life| life.zone_evacuated && !life.runs().is_empty();
         let lives = self.lives.iter().filter(|(_, life)| leaves(life) && life.silent == 0);
-        let mut lives = lives.map(|(no, _)| no).collect::<Vec<_>>();
-        lives.sort_by_key(|&no| (last.is_some_and(|last| no <= last), no));
+        let mut lives = lives.map(|(life_no, _)| life_no).collect::<Vec<_>>();
+        lives.sort_by_key(|&life_no| (last.is_some_and(|last| life_no <= last), life_no));
         lives
     }
 
     /// Returns a run of a worker that must move and for which there is capacity elsewhere.
-    fn find_run_to_move(&mut self, no: LifeNo) -> Option<(TaskName, u32)> {
+    fn find_run_to_move(&mut self, life_no: LifeNo) -> Option<(TaskName, u32)> {
         let now = self.now;
-        let life = self.lives.get(no)?;
+        let life = self.lives.get(life_no)?;
         let runs = life.runs().iter().filter(|(_, run)| must_move(run, now));
         let runs = runs.map(|(&task, run)| (task, run.run)).collect::<Vec<_>>();
         runs.into_iter().find(|&(task, _)| {
@@ -155,9 +150,9 @@
     /// Returns whether a task can be placed elsewhere. A latency-critical task must also not be
     /// disturbed by batch tasks there, since it will soon be alone where it is.
     fn has_undisturbed_placement(&mut self, name: TaskName, spec: &StepSpec) -> bool {
-        let Some(no) = self.choose(name, spec, &[]) else { return false };
+        let Some(life_no) = self.choose(name, spec, &[]) else { return false };
         let image = self.jobs.get(&name.job).and_then(|job| job.images.get(name.step as usize));
-        let Some((life, &image)) = self.lives.get(no).zip(image) else { return false };
+        let Some((life, &image)) = self.lives.get(life_no).zip(image) else { return false };
         spec.tail_target_ms.is_none() || added(&self.tails, &full_loads(life), image) == 0.0
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/gauges.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/gauges.rs
@@ -23,7 +23,7 @@
         }
         let above_target = u64::from(tail_ms) > target_ms;
         run.over_since = if above_target { run.over_since.or(Some(now)) } else { None };
-        let gap_s = run.learned_at.map_or(0.0, |at| now.since(at).as_secs_f64());
+        let gap_s = run.learned_at.map_or(0.0, |time| now.since(time).as_secs_f64());
         run.learned_at = Some(now);
         let tail =
             Tail { tail_ms: f64::from(tail_ms), target_ms: target_ms as f64, gap_s, at: now };
--- a/crates/kitetrail-core/src/jobs/scheduler/holds.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/holds.rs
@@ -30,23 +30,24 @@
 /// the usual time. Each hold takes about 60 µs, so the limit leaves the owner of a large fleet time
 /// for other work. Retries and holds after a start come on top.
 const TARGET_HOLDS_PER_S: f64 = 2_000.0;
-/// The usual duration of a hold and the pause after it: the shortest wait and [`HOLD_PAUSE`].
+/// The duration of a hold and the pause after it without rate limiting: the shortest wait and
+/// [`HOLD_PAUSE`].
 const USUAL_HOLD_CYCLE: Duration = Duration::from_millis(620);
 /// The longest pause between retries.
 const MAX_HOLD_RETRY: Duration = Duration::from_millis(1_000);
 
 impl Scheduler {
     /// Sends a hold to a worker if one is due.
-    pub(super) fn send_hold_if_due(&mut self, no: LifeNo) {
+    pub(super) fn send_hold_if_due(&mut self, life_no: LifeNo) {
         let (now, lease, lease_expiry_delay) = (self.now, self.lease, self.lease_expiry_delay());
-        let Some(life) = self.lives.get_mut(no) else { return };
+        let Some(life) = self.lives.get_mut(life_no) else { return };
         if life.hold_sent || life.next_hold_at.is_none_or(|due_at| due_at > now) {
             return;
         }
         let ends_kept = life.ends_to_tell();
         if ends_kept > 0 && life.start_is_on_its_way() {
             // The answer to the start shows whether a later incarnation received it. That one must
-            // not be told that ends of this one are persisted.
+            // not get the acknowledgement, which it would apply to its own ends.
             return;
         }
         let wait_ms = wait_ms(life);
@@ -60,18 +61,18 @@
         }
         life.hold_sent = true;
         let hold = Hold { token: life.token, lease_until_ms, ends_kept, wait_ms };
-        self.out.push(Action::Hold { life: no, entry: Arc::clone(&life.entry), hold });
+        self.out.push(Action::Hold { life: life_no, entry: Arc::clone(&life.entry), hold });
     }
 
     /// Schedules the next hold to a worker.
     ///
     /// Where a tail latency is above its target, neither a large fleet nor a lagging owner delays
     /// holds, because batch tasks there are halted based on these reports.
-    pub(super) fn schedule_hold(&mut self, no: LifeNo) {
+    pub(super) fn schedule_hold(&mut self, life_no: LifeNo) {
         let now = self.now;
         let fleet_cycle = Duration::from_secs_f64(self.lives.len() as f64 / TARGET_HOLDS_PER_S);
         let extra_pause = fleet_cycle.saturating_sub(USUAL_HOLD_CYCLE);
-        let Some(life) = self.lives.get_mut(no) else { return };
+        let Some(life) = self.lives.get_mut(life_no) else { return };
         let pause = match life.silent {
             0 if life.contested => HOLD_PAUSE,
             0 if life.runs().is_empty() && life.ends_told >= life.ends_seen => HOLD_PAUSE_IDLE,
@@ -84,9 +85,9 @@
     }
 
     /// Brings the next hold to a worker forward, because a change is expected.
-    pub(super) fn schedule_hold_within(&mut self, no: LifeNo, pause: Duration) {
+    pub(super) fn schedule_hold_within(&mut self, life_no: LifeNo, pause: Duration) {
         let due_at = self.now + pause;
-        if let Some(life) = self.lives.get_mut(no) {
+        if let Some(life) = self.lives.get_mut(life_no) {
             life.next_hold_at = Some(life.next_hold_at.map_or(due_at, |due| due.min(due_at)));
         }
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
@@ -68,16 +68,21 @@
     }
 
     fn find_life(&self, id: &LifeId, incarnation: Option<Incarnation>) -> Option<LifeNo> {
-        let matches_incarnation = |no: LifeNo| {
-            self.lives.get(no).is_some_and(|life| life.entry.incarnation == incarnation)
+        let matches_incarnation = |life_no: LifeNo| {
+            self.lives.get(life_no).is_some_and(|life| life.entry.incarnation == incarnation)
         };
-        self.lives.of_worker(id).iter().copied().find(|&no| matches_incarnation(no))
+        self.lives.of_worker(id).iter().copied().find(|&life_no| matches_incarnation(life_no))
     }
 
     /// Returns the source of the answer to a hold that was sent to an incarnation at a given time.
-    pub(super) fn report_source(&self, no: LifeNo, sent_at: Time, report: &Report) -> ReportSource {
-        let Some(life) = self.lives.get(no) else { return ReportSource::Unknown };
-        let is_last = self.lives.of_worker(life.id()).last() == Some(&no);
+    pub(super) fn report_source(
+        &self,
+        life_no: LifeNo,
+        sent_at: Time,
+        report: &Report,
+    ) -> ReportSource {
+        let Some(life) = self.lives.get(life_no) else { return ReportSource::Unknown };
+        let is_last = self.lives.of_worker(life.id()).last() == Some(&life_no);
         let answered_since = life.heard_at.is_some_and(|heard_at| heard_at >= sent_at);
         match report.incarnation {
             None if life.contested && !is_last => ReportSource::Unknown,
@@ -95,13 +100,13 @@
     /// with each one.
     pub(super) fn executor_of(
         &mut self,
-        no: LifeNo,
+        life_no: LifeNo,
         clock_ms: u64,
         incarnation: Option<Incarnation>,
         sent_at: Time,
     ) -> Executor {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(no) else { return Executor::Unknown };
+        let Some(life) = self.lives.get_mut(life_no) else { return Executor::Unknown };
         let agrees = !life.contested && life.clock_agrees(clock_ms, sent_at, now);
         match incarnation {
             Some(other) if Some(other) != life.entry.incarnation => {
@@ -111,24 +116,24 @@
                 // The hold in flight may acknowledge ends to the later incarnation that were never
                 // received. A hold with a higher token is sent now, to arrive first if possible.
                 life.hold_sent = false;
-                self.log_worker_state(no, "asked again: its clock differs");
+                self.log_worker_state(life_no, "asked again: its clock differs");
                 return Executor::Unknown;
             }
             Some(_) | None => {}
         }
         life.note_heard(clock_ms, sent_at, now);
-        self.resume_leasing(no);
+        self.resume_leasing(life_no);
         Executor::ThisLife
     }
 
     /// Handles an answer from a different incarnation than the one that was asked.
     pub(super) fn handle_other_incarnation(
         &mut self,
-        no: LifeNo,
+        life_no: LifeNo,
         incarnation: Incarnation,
         sent_at: Time,
     ) {
-        let Some(life) = self.lives.get(no) else { return };
+        let Some(life) = self.lives.get(life_no) else { return };
         // Only its address is known. It may offer other resources than the previous incarnation,
         // and is not leaving just because that one was. It gets no work until its own entry is
         // read.
@@ -141,8 +146,8 @@
         let precedes = life.precedes(sent_at);
         match self.find_life_for_entry(&entry) {
             Some(other) if precedes && self.lives.get(other).is_some_and(|other| other.known) => {
-                self.log_worker_restart(no, other);
-                self.end_life(no, LifeEnd::StartedAgain);
+                self.log_worker_restart(life_no, other);
+                self.end_life(life_no, LifeEnd::StartedAgain);
             }
             Some(other) => self.send_hold_now(other),
             None => {
@@ -158,17 +163,17 @@
 
     /// Marks the incarnations of a worker as contested if a new one joins others. Answers must show
     /// which of them are over.
-    pub(super) fn mark_contested(&mut self, no: LifeNo) {
-        let Some(life) = self.lives.get(no) else { return };
+    pub(super) fn mark_contested(&mut self, life_no: LifeNo) {
+        let Some(life) = self.lives.get(life_no) else { return };
         let lives = self.lives.of_worker(&life.id().clone()).to_vec();
         if lives.len() < 2 {
             return;
         }
-        self.raise_shared_token(no);
+        self.raise_shared_token(life_no);
         // An order or hold with a lease time of the old clock may have reached the new incarnation.
         // Such a lease lasts at most as long as the longest lease that workers grant.
         let leased_until = self.now + self.longest_lease_expiry_delay();
-        if let Some(life) = self.lives.get_mut(no) {
+        if let Some(life) = self.lives.get_mut(life_no) {
             life.lapses_at = life.lapses_at.max(leased_until);
         }
         for life in lives {
@@ -181,31 +186,32 @@
     }
 
     /// Sends a hold to a worker at once, unless one is in flight or the worker is silent.
-    fn send_hold_now(&mut self, no: LifeNo) {
-        if self.lives.get(no).is_some_and(|life| life.silent == 0) {
-            self.schedule_hold_within(no, Duration::ZERO);
-            self.send_hold_if_due(no);
+    fn send_hold_now(&mut self, life_no: LifeNo) {
+        if self.lives.get(life_no).is_some_and(|life| life.silent == 0) {
+            self.schedule_hold_within(life_no, Duration::ZERO);
+            self.send_hold_if_due(life_no);
         }
     }
 
     /// Ends the contested state of a worker once a single incarnation is left.
     pub(super) fn resolve_contest(&mut self, id: &LifeId) {
-        let [no] = *self.lives.of_worker(id) else { return };
-        let Some(life) = self.lives.get_mut(no).filter(|life| life.contested) else { return };
+        let [life_no] = *self.lives.of_worker(id) else { return };
+        let Some(life) = self.lives.get_mut(life_no).filter(|life| life.contested) else { return };
         life.contested = false;
         self.replan = true;
-        self.send_next_order(no);
+        self.send_next_order(life_no);
     }
 
     /// Raises the fencing token of all incarnations of a worker above every token sent there.
     /// Whichever is alive refuses everything sent before.
-    pub(super) fn raise_shared_token(&mut self, no: LifeNo) {
-        let Some(life) = self.lives.get(no) else { return };
+    pub(super) fn raise_shared_token(&mut self, life_no: LifeNo) {
+        let Some(life) = self.lives.get(life_no) else { return };
         let lives = self.lives.of_worker(&life.id().clone()).to_vec();
-        let tokens = lives.iter().filter_map(|&no| self.lives.get(no)).map(|life| life.token);
+        let tokens =
+            lives.iter().filter_map(|&life_no| self.lives.get(life_no)).map(|life| life.token);
         let Some(highest) = tokens.max() else { return };
-        for no in lives {
-            if let Some(life) = self.lives.get_mut(no) {
+        for life_no in lives {
+            if let Some(life) = self.lives.get_mut(life_no) {
                 life.token = highest + 1;
             }
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/inherit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/inherit.rs
@@ -78,10 +78,10 @@
     }
 
     /// Handles the news that no earlier owner has renewed leases since a given time.
-    pub(super) fn handle_earlier_owners_stopped(&mut self, at: Time) {
-        let expires_at = at + self.lease_expiry_delay();
-        for &no in &self.unheard {
-            if let Some(life) = self.lives.get_mut(no).filter(|life| !life.contested) {
+    pub(super) fn handle_earlier_owners_stopped(&mut self, stopped_at: Time) {
+        let expires_at = stopped_at + self.lease_expiry_delay();
+        for &life_no in &self.unheard {
+            if let Some(life) = self.lives.get_mut(life_no).filter(|life| !life.contested) {
                 life.lapses_at = life.lapses_at.min(expires_at);
             }
         }
@@ -118,14 +118,14 @@
             capacity: Resources::default(),
             labels: Vec::new(),
         };
-        let no = self.insert_life(entry, lapses_at);
-        if let Some(life) = self.lives.get_mut(no) {
+        let life_no = self.insert_life(entry, lapses_at);
+        if let Some(life) = self.lives.get_mut(life_no) {
             life.listing = Listing::Unread;
             life.recorded = true;
             life.leasing = leasing;
             life.begun_before = begun_before;
         }
-        self.unheard.insert(no);
-        self.mark_contested(no);
+        self.unheard.insert(life_no);
+        self.mark_contested(life_no);
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/kept_starts.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/kept_starts.rs
@@ -51,12 +51,12 @@
 
     /// Sends the start orders that are now persisted, except those cancelled meanwhile.
     pub(super) fn send_persisted_starts(&mut self, starts: Vec<KeptStart>) {
-        for KeptStart { life: no, order } in starts {
-            let life = self.lives.get_mut(no);
+        for KeptStart { life: life_no, order } in starts {
+            let life = self.lives.get_mut(life_no);
             let run = life.and_then(|life| life.run_mut(order.task, order.run));
             let Some(run) = run.filter(|run| run.phase == Phase::Unkept) else { continue };
             run.phase = Phase::Ordered;
-            self.order(no, Order::Start(order));
+            self.order(life_no, Order::Start(order));
         }
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/leasing.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/leasing.rs
@@ -21,45 +21,45 @@
 
 impl Scheduler {
     /// Stops granting leases on a worker that has been silent for a while, and persists that.
-    pub(super) fn stop_leasing_if_silent(&mut self, no: LifeNo) {
+    pub(super) fn stop_leasing_if_silent(&mut self, life_no: LifeNo) {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(no) else { return };
+        let Some(life) = self.lives.get_mut(life_no) else { return };
         let silent_too_long =
-            life.silent_since.is_some_and(|at| now.since(at) >= STOP_LEASING_AFTER);
+            life.silent_since.is_some_and(|time| now.since(time) >= STOP_LEASING_AFTER);
         let may_record = life.known && life.recorded && !life.contested;
         if silent_too_long && may_record && life.leasing == Leasing::Allowed {
             life.leasing = Leasing::Ended;
-            self.pending.rewrite_life(no);
+            self.pending.rewrite_life(life_no);
         }
     }
 
     /// Resumes granting leases on a worker that answered, once that is persisted.
-    pub(super) fn resume_leasing(&mut self, no: LifeNo) {
-        let Some(life) = self.lives.get_mut(no) else { return };
+    pub(super) fn resume_leasing(&mut self, life_no: LifeNo) {
+        let Some(life) = self.lives.get_mut(life_no) else { return };
         if life.leasing == Leasing::Ended {
             life.leasing = Leasing::Resumed;
-            self.pending.add_life(no);
+            self.pending.add_life(life_no);
         }
     }
 
     /// Records which leasing state was sent to the store for each incarnation.
     pub(super) fn mark_lives_sent(&mut self, lives: &[LifeNo]) {
-        for &no in lives {
-            if let Some(life) = self.lives.get_mut(no) {
+        for &life_no in lives {
+            if let Some(life) = self.lives.get_mut(life_no) {
                 life.sent_not_leased = life.leasing == Leasing::Ended;
             }
         }
     }
 
     /// Handles the confirmation that the row of an incarnation is persisted.
-    pub(super) fn mark_life_persisted(&mut self, no: LifeNo) {
-        let Some(life) = self.lives.get_mut(no) else { return };
+    pub(super) fn mark_life_persisted(&mut self, life_no: LifeNo) {
+        let Some(life) = self.lives.get_mut(life_no) else { return };
         life.recorded = true;
         if !life.sent_not_leased && life.leasing == Leasing::Resumed {
             life.leasing = Leasing::Allowed;
-            self.schedule_hold_within(no, Duration::ZERO);
-            self.send_hold_if_due(no);
-            self.send_next_order(no);
+            self.schedule_hold_within(life_no, Duration::ZERO);
+            self.send_hold_if_due(life_no);
+            self.send_next_order(life_no);
             self.replan = true;
         }
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/mod.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/mod.rs
@@ -71,7 +71,8 @@
 /// Long enough to replace a killed owner (about 2.5 s) and hear from every worker before leases
 /// expire. Short, because the tasks of a silent worker wait until its lease has expired.
 const LEASE_DURATION: Duration = Duration::from_millis(4_000);
-/// The most that a worker's clock may lag behind ours, in percent, as guaranteed by the platform.
+/// The most by which a worker's clock may run slower than ours, in percent, as guaranteed by the
+/// platform.
 pub(super) const CLOCK_SLOW_PERCENT: u32 = 2;
 /// The margin added to the end of every lease to cover delays on the owner's side.
 const LEASE_EXPIRY_MARGIN: Duration = Duration::from_millis(100);
@@ -279,15 +280,15 @@
     }
 
     /// Keeps the next placement of a task off a worker.
-    fn avoid(&mut self, name: TaskName, no: LifeNo) {
+    fn avoid(&mut self, name: TaskName, life_no: LifeNo) {
         if let Some(task) = self.task_mut(name) {
-            task.avoid = Some(no);
+            task.avoid = Some(life_no);
         }
     }
 
     /// Logs the current assumption about a worker's state.
-    fn log_worker_state(&mut self, no: LifeNo, belief: &'static str) {
-        let Some(life) = self.lives.get(no) else { return };
+    fn log_worker_state(&mut self, life_no: LifeNo, belief: &'static str) {
+        let Some(life) = self.lives.get(life_no) else { return };
         let worker = life.id().clone();
         let heard_ago_ms = life.heard_ago_ms(self.now);
         self.out.push(Action::Note(Note::Worker { worker, belief, heard_ago_ms }));
@@ -314,8 +315,8 @@
         self.start_due_occurrences();
         self.remove_expired_jobs();
         let due = self.lives.iter().filter(|(_, life)| life.needs_check(self.now));
-        for no in due.map(|(no, _)| no).collect::<Vec<_>>() {
-            self.check_life(no);
+        for life_no in due.map(|(life_no, _)| life_no).collect::<Vec<_>>() {
+            self.check_life(life_no);
         }
         self.evacuate_zones_if_due();
         self.tell_backlog_if_due();
--- a/crates/kitetrail-core/src/jobs/scheduler/set_aside.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/set_aside.rs
@@ -22,20 +22,20 @@
 
 impl Scheduler {
     /// Sets aside a worker that reports itself unhealthy.
-    pub(super) fn set_aside_unhealthy(&mut self, no: LifeNo) {
-        if let Some(life) = self.lives.get_mut(no) {
+    pub(super) fn set_aside_unhealthy(&mut self, life_no: LifeNo) {
+        if let Some(life) = self.lives.get_mut(life_no) {
             life.set_aside_until = life.set_aside_until.max(Some(self.now + UNHEALTHY_DURATION));
         }
     }
 
     /// Sets aside a worker whose runs make no progress.
-    pub(super) fn set_aside_hanging(&mut self, no: LifeNo) {
+    pub(super) fn set_aside_hanging(&mut self, life_no: LifeNo) {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(no) else { return };
+        let Some(life) = self.lives.get_mut(life_no) else { return };
         let already_set_aside = life.set_aside_until.is_some_and(|until| until > now);
         life.set_aside_until = life.set_aside_until.max(Some(now + HANGING_DURATION));
         if !already_set_aside {
-            self.log_worker_state(no, "set aside: its runs stand still");
+            self.log_worker_state(life_no, "set aside: its runs stand still");
         }
     }
 
@@ -43,9 +43,9 @@
     ///
     /// Further failures of a worker that is already set aside are ignored, since they belong to
     /// runs that were started before.
-    pub(super) fn record_run_failure(&mut self, no: LifeNo) {
+    pub(super) fn record_run_failure(&mut self, life_no: LifeNo) {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(no) else { return };
+        let Some(life) = self.lives.get_mut(life_no) else { return };
         life.failures += 1;
         let is_set_aside = life.set_aside_until.is_some_and(|until| until > now);
         if life.failures < CONSECUTIVE_FAILURE_LIMIT || is_set_aside {
@@ -57,6 +57,6 @@
         // After the pause, a single failure sets the worker aside again.
         life.failures = CONSECUTIVE_FAILURE_LIMIT - 1;
         life.set_aside_until = Some(now + pause);
-        self.log_worker_state(no, "set aside: its runs fail");
+        self.log_worker_state(life_no, "set aside: its runs fail");
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/unlisted.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/unlisted.rs
@@ -47,8 +47,8 @@
     /// Handles the removal of a worker's entry from the list, given the time since its last
     /// heartbeat.
     pub(super) fn handle_unlisted(&mut self, id: &LifeId, silent_for: Option<Duration>) {
-        for no in self.lives.of_worker(id).to_vec() {
-            self.mark_unlisted(no, self.classify_removal(silent_for));
+        for life_no in self.lives.of_worker(id).to_vec() {
+            self.mark_unlisted(life_no, self.classify_removal(silent_for));
         }
     }
 
@@ -56,8 +56,8 @@
     /// contain.
     pub(super) fn mark_unread_unlisted(&mut self) {
         let unread = self.lives.iter().filter(|(_, life)| life.listing == Listing::Unread);
-        for no in unread.map(|(no, _)| no).collect::<Vec<_>>() {
-            self.mark_unlisted(no, self.classify_removal(None));
+        for life_no in unread.map(|(life_no, _)| life_no).collect::<Vec<_>>() {
+            self.mark_unlisted(life_no, self.classify_removal(None));
         }
     }
 
@@ -66,8 +66,8 @@
     /// A worker marked `draining` may be emptied at once. One that is only missing from the list
     /// may be healthy, so the number of missing tasks of a step must stay within the limit set by
     /// the caller.
-    pub(super) fn may_move_run(&self, no: LifeNo, task: TaskName) -> bool {
-        let draining = self.lives.get(no).is_some_and(|life| life.entry.draining);
+    pub(super) fn may_move_run(&self, life_no: LifeNo, task: TaskName) -> bool {
+        let draining = self.lives.get(life_no).is_some_and(|life| life.entry.draining);
         let may_miss = self.step_spec(task).and_then(|spec| spec.may_miss);
         draining || may_miss.is_none_or(|may_miss| self.others_missing(task) < may_miss as usize)
     }
@@ -89,15 +89,15 @@
         }
     }
 
-    fn mark_unlisted(&mut self, no: LifeNo, listing: Listing) {
-        let Some(life) = self.lives.get_mut(no) else { return };
+    fn mark_unlisted(&mut self, life_no: LifeNo, listing: Listing) {
+        let Some(life) = self.lives.get_mut(life_no) else { return };
         life.listing = listing;
         let belief = match listing {
             Listing::Lapsed => "not listed: its heartbeats stopped",
             _ => "not listed",
         };
-        self.log_worker_state(no, belief);
-        self.schedule_hold_within(no, Duration::ZERO);
+        self.log_worker_state(life_no, belief);
+        self.schedule_hold_within(life_no, Duration::ZERO);
     }
 
     /// Returns the number of other tasks of the step that are not known to be working.
--- a/crates/kitetrail-core/src/jobs/scheduler/unusable.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/unusable.rs
@@ -21,18 +21,18 @@
     /// Handles an entry that is incomplete or can't have been written by its worker.
     pub(super) fn handle_unusable_entry(&mut self, id: &LifeId) {
         self.unused_service_entries.remove(id);
-        for no in self.lives.of_worker(id).to_vec() {
-            self.mark_life_unusable(no);
+        for life_no in self.lives.of_worker(id).to_vec() {
+            self.mark_life_unusable(life_no);
         }
     }
 
-    fn mark_life_unusable(&mut self, no: LifeNo) {
-        let Some(life) = self.lives.get_mut(no) else { return };
+    fn mark_life_unusable(&mut self, life_no: LifeNo) {
+        let Some(life) = self.lives.get_mut(life_no) else { return };
         if life.listing == Listing::Unusable {
             return;
         }
         life.listing = Listing::Unusable;
-        self.log_worker_state(no, "not used, its entry can't be its own");
+        self.log_worker_state(life_no, "not used, its entry can't be its own");
     }
 
     /// Returns whether a worker runs a service that no queue uses.
