--- a/crates/kitetrail-core/src/jobs/scheduler/commit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/commit.rs
@@ -32,9 +32,9 @@
             // Ends that changed nothing need no record.
             self.acknowledge_persisted_ends();
         }
-        let gathered = self.now.since(self.pending.last_sent_at) >= BATCH_DELAY;
+        let delay_elapsed = self.now.since(self.pending.last_sent_at) >= BATCH_DELAY;
         if self.pending.confirmation_wanted
-            || !self.pending.is_empty() && (self.pending.urgent || gathered)
+            || !self.pending.is_empty() && (self.pending.urgent || delay_elapsed)
         {
             self.send_batch();
         }
@@ -60,7 +60,7 @@
             let mut pass = self.begin_pass();
             batch.new_jobs.into_iter().for_each(|id| self.place_job(id, &mut pass));
         }
-        self.replan = true;
+        self.placement_needed = true;
     }
 
     /// Allows acknowledging the ends of runs whose changes are all persisted.
--- a/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
@@ -78,16 +78,16 @@
         let recorded = life.begun_before.iter().copied().map(Suspect::from_recorded_start);
         let mut suspects = recorded.chain(life.suspects.iter().cloned()).collect::<Vec<_>>();
         suspects.extend(suspects_among(life, self.now));
-        let together = self.lost_with_others(life);
+        let with_others = self.lost_with_others(life);
         // If the worker left, is only unreachable, or was lost together with others, runs that had
         // lasted a while are not implicated.
         let implicates_all = end != LifeEnd::Gone
             && !matches!(life.listing, Listing::Gone { .. })
             && !life.zone_evacuated
-            && !together;
+            && !with_others;
         suspects.retain(|suspect| implicates_all || suspect.evidence != CrashEvidence::RanThere);
         for suspect in &mut suspects {
-            if together && suspect.evidence == CrashEvidence::FellAtOnce {
+            if with_others && suspect.evidence == CrashEvidence::FellAtOnce {
                 suspect.evidence = CrashEvidence::OthersFell;
             }
         }
@@ -174,7 +174,7 @@
             reported_run.suspected &= !cleared;
             reported_run.alone &= ran < ISOLATION_PERIOD && !cleared;
             life.room = None;
-            self.replan = true;
+            self.placement_needed = true;
         }
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/ends.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/ends.rs
@@ -57,7 +57,7 @@
         let Some(worker) = self.lives.get(life_no).map(|life| life.id().clone()) else { return };
         let note = Note::RunEnded { task: end.task, run: end.run, worker, how: end.how };
         self.out.push(Action::Note(note));
-        self.replan = true;
+        self.placement_needed = true;
         self.remove_placement(end.task, Placement { life: life_no, run: end.run });
         self.update_checkpoint(end);
         match end.how {
--- a/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
@@ -56,7 +56,7 @@
         for life_no in self.lives.numbers() {
             self.update_zone_status(life_no);
         }
-        self.replan = true;
+        self.placement_needed = true;
     }
 
     /// Updates whether a worker is in an evacuated zone.
--- a/crates/kitetrail-core/src/jobs/scheduler/hear.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/hear.rs
@@ -109,7 +109,7 @@
         self.check_progress(life_no);
         self.control_pace(life_no);
         if first {
-            self.replan = true;
+            self.placement_needed = true;
         }
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
@@ -116,7 +116,7 @@
                 // The hold in flight may acknowledge ends to the later incarnation that were never
                 // received. A hold with a higher token is sent now, to arrive first if possible.
                 life.hold_sent = false;
-                self.log_worker_state(life_no, "asked again: its clock differs");
+                self.log_worker_state(life_no, "asked anew: its clock is another one");
                 return Executor::Unknown;
             }
             Some(_) | None => {}
@@ -198,7 +198,7 @@
         let [life_no] = *self.lives.of_worker(id) else { return };
         let Some(life) = self.lives.get_mut(life_no).filter(|life| life.contested) else { return };
         life.contested = false;
-        self.replan = true;
+        self.placement_needed = true;
         self.send_next_order(life_no);
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/leasing.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/leasing.rs
@@ -60,7 +60,7 @@
             self.schedule_hold_within(life_no, Duration::ZERO);
             self.send_hold_if_due(life_no);
             self.send_next_order(life_no);
-            self.replan = true;
+            self.placement_needed = true;
         }
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/mod.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/mod.rs
@@ -131,7 +131,7 @@
     overload: Overload,
     started: Started,
     /// Whether something changed that may allow pending tasks to be placed.
-    replan: bool,
+    placement_needed: bool,
     /// The time of the last placement pass over all jobs.
     last_placement_at: Time,
     /// The actions to take, in order, collected while one event is handled.
@@ -171,7 +171,7 @@
             evacuation: ZoneEvacuation::default(),
             overload: Overload::default(),
             started: Started::default(),
-            replan: true,
+            placement_needed: true,
             last_placement_at: Time::ZERO,
             out: Vec::new(),
         };
@@ -252,7 +252,7 @@
         let id = job.id;
         self.open.insert((job.queue.priority, job.due_at, id));
         self.jobs.insert(id, job);
-        self.replan = true;
+        self.placement_needed = true;
     }
 
     /// Records the outcome of a job whose end is persisted.
@@ -262,9 +262,10 @@
     }
 
     fn place_jobs_if_due(&mut self) {
-        let due = self.replan && self.now.since(self.last_placement_at) >= PLACEMENT_INTERVAL;
+        let due =
+            self.placement_needed && self.now.since(self.last_placement_at) >= PLACEMENT_INTERVAL;
         if due && self.overload.starts_per_pass() > 0 {
-            self.replan = false;
+            self.placement_needed = false;
             self.last_placement_at = self.now;
             self.place_all();
         }
@@ -321,6 +322,6 @@
         self.evacuate_zones_if_due();
         self.tell_backlog_if_due();
         // Back-offs and set-aside periods end without an event of their own.
-        self.replan = true;
+        self.placement_needed = true;
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/orders.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/orders.rs
@@ -169,7 +169,7 @@
         let Some(life) = self.lives.get_mut(life_no) else { return };
         life.remove_run(task, run);
         self.remove_placement(task, Placement { life: life_no, run });
-        self.replan = true;
+        self.placement_needed = true;
     }
 
     /// Removes a run from the placements of its task.
@@ -193,7 +193,7 @@
         life.orders.clear();
         for (task, run_state) in life.take_runs() {
             self.remove_placement(task, Placement { life: life_no, run: run_state.run });
-            self.replan = true;
+            self.placement_needed = true;
         }
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/requests.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/requests.rs
@@ -81,7 +81,7 @@
             }
         }
         self.list_newly_used_services();
-        self.replan = true;
+        self.placement_needed = true;
     }
 
     /// Sets the outcome of a job and stops its remaining runs.
@@ -133,7 +133,7 @@
                 job.next_due_unix_ms().filter(|&(_, due_ms)| due_ms <= unix_ms)
             {
                 job.begin(next);
-                self.replan = true;
+                self.placement_needed = true;
             }
         }
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/workers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/workers.rs
@@ -41,7 +41,7 @@
                 Discovery::Whole => self.mark_unread_unlisted(),
             }
         }
-        self.replan = true;
+        self.placement_needed = true;
     }
 
     /// Ends earlier incarnations at the place of one that answered a hold sent at a given time.
@@ -77,7 +77,7 @@
         self.record_crash(&life.entry.key(), suspects);
         self.pending.end_life(life_no, life.entry.key(), life.recorded);
         self.resolve_contest(life.id());
-        self.replan = true;
+        self.placement_needed = true;
     }
 
     /// Applies time-based changes to an incarnation: expired leases and due holds.
