--- a/crates/kitetrail-core/src/jobs/scheduler/backlog.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/backlog.rs
@@ -1,4 +1,4 @@
-//! What waits for a worker and what was started, by kind of work, told once a second.
+//! Reports the waiting and the started tasks by kind of work, once a second.
 
 use std::{mem, time::Duration};
 
@@ -13,37 +13,37 @@
 };
 use crate::Time;
 
-/// How often it is told. An operator reads by it what an overload is made of; a line a second and kind is
-/// little beside the hundreds of lines that a busy owner writes.
-const TOLD_EVERY: Duration = Duration::from_millis(1_000);
+/// The interval between two reports. Operators read from them what an overload consists of. One
+/// line per second and kind is little beside the hundreds of lines that a busy owner logs.
+const REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Tasks of one kind of work, by whether their jobs can still end in time.
+/// The number of tasks of one kind of work, by whether their jobs can still complete in time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(super) struct ByTimeliness {
+pub(super) struct TaskCounts {
     pub(super) in_time: u32,
     pub(super) late: u32,
 }
 
-impl ByTimeliness {
+impl TaskCounts {
     fn add(&mut self, tasks: u32, in_time: bool) {
         let count = if in_time { &mut self.in_time } else { &mut self.late };
         *count += tasks;
     }
 }
 
-/// Tasks of one kind that wait.
+/// The waiting tasks of one kind of work.
 #[derive(Debug, Clone, Copy, Default)]
 struct Waiting {
-    tasks: ByTimeliness,
+    tasks: TaskCounts,
     /// The age of the oldest of their jobs.
     oldest: Duration,
 }
 
-/// What was started since it was told last.
+/// The tasks started since the last report.
 #[derive(Debug, Default)]
 pub(super) struct Started {
-    tasks: [ByTimeliness; WorkKind::ALL.len()],
-    told_at: Time,
+    tasks: [TaskCounts; WorkKind::ALL.len()],
+    reported_at: Time,
 }
 
 impl Started {
@@ -53,19 +53,19 @@
 }
 
 impl Scheduler {
-    /// Tells what waits and what was started, if it is time to.
+    /// Reports the waiting and the started tasks if a report is due.
     pub(super) fn tell_backlog_if_due(&mut self) {
-        if self.now.since(self.started.told_at) < TOLD_EVERY {
+        if self.now.since(self.started.reported_at) < REPORT_INTERVAL {
             return;
         }
-        self.tell_unkept();
+        self.report_unpersisted();
         let waiting = self.waiting_by_kind();
         let started = mem::take(&mut self.started.tasks);
-        self.started.told_at = self.now;
+        self.started.reported_at = self.now;
         let lag_ms = self.overload.lag().as_millis() as u64;
         for kind in WorkKind::ALL {
             let (waiting, started) = (waiting[kind as usize], started[kind as usize]);
-            if waiting.tasks == ByTimeliness::default() && started == ByTimeliness::default() {
+            if waiting.tasks == TaskCounts::default() && started == TaskCounts::default() {
                 continue;
             }
             self.out.push(Action::Note(Note::Backlog {
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Tells what waits to be kept for good, if anything does.
-    fn tell_unkept(&mut self) {
+    /// Reports the records that wait to be persisted, if there are any.
+    fn report_unpersisted(&mut self) {
         if self.pending.is_empty() && self.pending.unkept_ends() == 0 {
             return;
         }
@@ -97,7 +97,7 @@
         let jobs = self.open.iter().filter_map(|(_, _, id)| self.jobs.get(id));
         for job in jobs.filter(|job| job.may_wait) {
             let (in_time, age) = (job.can_be_in_time(self.now), self.now.since(job.accepted_at));
-            for (spec, tasks) in unplaced(job) {
+            for (spec, tasks) in unplaced_steps(job) {
                 let kind = &mut waiting[spec.kind() as usize];
                 kind.tasks.add(tasks, in_time);
                 kind.oldest = kind.oldest.max(age);
@@ -107,8 +107,8 @@
     }
 }
 
-/// The steps of a job whose turn has come and that have tasks waiting, and how many.
-fn unplaced(job: &Job) -> impl Iterator<Item = (&StepSpec, u32)> {
+/// Returns the steps of a job that are due and have unplaced tasks, with the number of these tasks.
+fn unplaced_steps(job: &Job) -> impl Iterator<Item = (&StepSpec, u32)> {
     let due = job.occurrences.values().flat_map(|occurrence| {
         let steps = job.spec.steps.iter().zip(&occurrence.steps);
         steps.filter(|(spec, _)| occurrence.is_due(spec))
--- a/crates/kitetrail-core/src/jobs/scheduler/fit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/fit.rs
@@ -1,4 +1,4 @@
-//! How well a worker suits a task.
+//! Scores how well a worker suits a task.
 
 use std::time::Duration;
 
@@ -17,138 +17,153 @@
 };
 use crate::Time;
 
-/// Weight of a worker's fullness, 0 to 1, when workers are compared. The unit of the other weights.
-const FULLNESS: f64 = 1.0;
-/// Weight of something that would disturb, or be disturbed, by what the task does.
-const DISTURBANCE: f64 = 3.0;
-/// Weight of a worker where other images could fill as well: a task that many workers suit leaves
-/// those free that suit many images.
-const SCARCITY: f64 = 0.25;
-/// What fills is started where it is let work at this share of its speed at least: it holds memory.
-const LEAST_PACE: f64 = 0.5;
-/// The same for a task that loses its progress when it is stopped: it can't be moved.
-const LEAST_PACE_UNMOVED: f64 = 0.8;
-/// Weight of serving tasks of other images. Where tasks of one image serve together, each image that
-/// fills finds workers where it disturbs nothing.
-const OTHER_IMAGE: f64 = 0.6;
-/// Weight of being away from the data: the task takes up to twice as long.
-const FAR: f64 = 4.0;
+/// Weight of the share of a worker that is in use, 0 to 1. The unit of all other weights.
+const FULLNESS_WEIGHT: f64 = 1.0;
+/// Weight of the interference between the task and the tasks on the worker.
+const INTERFERENCE_WEIGHT: f64 = 3.0;
+/// Weight of the share of best-effort images that the worker tolerates: a task that suits many
+/// workers leaves free those that suit many images.
+const SCARCITY_WEIGHT: f64 = 0.25;
+/// The least share of its full speed at which a best-effort task is started. It holds memory
+/// however slowly it runs.
+const MIN_PACE: f64 = 0.5;
+/// The same for a task that loses its progress when it is stopped, and therefore can't be moved.
+const MIN_PACE_IMMOVABLE: f64 = 0.8;
+/// Weight of serving tasks of other images on the worker. Where tasks of one image share workers,
+/// each best-effort image finds workers on which it interferes with nothing.
+const OTHER_IMAGE_WEIGHT: f64 = 0.6;
+/// Weight of a worker away from the task's data or gang, where the task takes up to twice as long.
+const REMOTE_WEIGHT: f64 = 4.0;
 /// Weight of the worker on which the task failed last.
-const FAILED_THERE: f64 = 8.0;
+const FAILED_RUN_WEIGHT: f64 = 8.0;
 
-/// Weight of each run that would be lost with the worker if a suspect crashed it, above all other weights: suspects go
-/// where nothing runs, or as little as can be.
-const LOST_BESIDE: f64 = 50.0;
-/// The same for a run that lasts: users wait for it to be back.
-const LOST_LASTING_BESIDE: f64 = 150.0;
+/// Weight of each run on the worker for a task suspected of crashing workers, since the run would
+/// be lost with the worker. It exceeds all other weights: such tasks go where nothing runs, or as
+/// little as possible.
+const LOST_RUN_WEIGHT: f64 = 50.0;
+/// The same for a long-running run, whose users wait until it is back.
+const LOST_LONG_RUNNING_WEIGHT: f64 = 150.0;
 
-/// The same for a machine that crashed of late: it may crash again by itself, and speak against a task that is blameless.
-const FELL_OF_LATE: f64 = 25.0;
+/// Weight, for such a task, of a machine that crashed recently: it may crash again by itself, which
+/// would count against a task that did not cause it.
+const RECENT_CRASH_WEIGHT: f64 = 25.0;
 
-/// The same for each second since the worker was heard: it may have crashed since, and speak against the task as well.
-const UNHEARD_FOR_S: f64 = 4.0;
+/// Weight, for such a task, of each second since the worker last reported: it may have crashed
+/// since, which would count against the task as well.
+const SILENCE_WEIGHT_PER_S: f64 = 4.0;
 
-/// A task that looks for a worker.
+/// A task to be placed, with all that its score on a worker depends on.
 pub(super) struct Fit<'a> {
     pub(super) name: TaskName,
     pub(super) spec: &'a StepSpec,
-    /// The service whose workers run it.
+    /// The service whose workers run the task.
     pub(super) service: &'a str,
     pub(super) image: ImageNo,
-    /// Where other members of its gang are about to be placed.
+    /// The workers chosen for other members of its gang in this pass.
     pub(super) members: &'a [LifeNo],
-    /// The rack that they are in.
+    /// The rack of these workers.
     pub(super) rack: Option<&'a str>,
-    /// Where it failed, or was slow.
+    /// The worker on which the task failed or was slow.
     pub(super) avoid: Option<LifeNo>,
     pub(super) now: Time,
-    /// It may crash its worker.
+    /// Whether the task is suspected of crashing workers and must run alone.
     pub(super) runs_alone: bool,
-    /// How late its job is: what is hopeless takes places that are worse.
+    /// How late the job is: hopelessly late jobs accept worse workers.
     pub(super) lateness: Lateness,
     pub(super) tails: &'a TailModel,
     pub(super) short_work: &'a ShortWork,
 }
 
 impl Fit<'_> {
-    /// How well a worker suits the task, less is better; `None` if it does not.
+    /// Returns how well a worker suits the task, where lower is better, or `None` if it can't run
+    /// it.
     pub(super) fn score(&self, no: LifeNo, life: &Life, room: &Room) -> Option<f64> {
         let spec = self.spec;
-        let labelled = spec.label.as_ref().is_none_or(|label| life.entry.labels.contains(label));
-        if !labelled || !self.has_room(no, life, room) {
+        let has_label = spec.label.as_ref().is_none_or(|label| life.entry.labels.contains(label));
+        if !has_label || !self.has_room(no, life, room) {
             return None;
         }
-        let disturbance = self.disturbance(life, room)?;
+        let interference = self.interference(life, room)?;
         let fullness = match (spec.fills, spec.lasts) {
             (true, _) => 1.0 - room.fill_share,
-            // What lasts is packed, so that room for large tasks stays in one piece; so is short work of
-            // which few tasks fit on a worker. Other short work spreads, so that what fills is left some.
+            // Long-running tasks are packed, so that room for large tasks is not fragmented. So are
+            // short tasks of which few fit on a worker. Other short tasks are spread, so that every
+            // worker keeps some capacity for best-effort tasks.
             (false, true) => room.free_share,
             (false, false) if self.short_work.is_coarse() => room.free_share,
             (false, false) => 1.0 - room.free_share,
         };
-        let far = spec.near_rack.as_ref().is_some_and(|near| !life.entry.labels.contains(near));
-        let apart = spec.same_rack && self.rack.is_some_and(|rack| rack != life.entry.rack);
-        let far = if far || apart { FAR } else { 0.0 };
-        let failed = if self.avoid == Some(no) { FAILED_THERE } else { 0.0 };
-        let lost = if self.runs_alone { lost_beside(life, self.now) } else { 0.0 };
-        Some(FULLNESS * fullness + DISTURBANCE * disturbance + far + failed + lost)
+        let is_far = spec.near_rack.as_ref().is_some_and(|near| !life.entry.labels.contains(near));
+        let splits_gang = spec.same_rack && self.rack.is_some_and(|rack| rack != life.entry.rack);
+        let remote_cost = if is_far || splits_gang { REMOTE_WEIGHT } else { 0.0 };
+        let failed_run_cost = if self.avoid == Some(no) { FAILED_RUN_WEIGHT } else { 0.0 };
+        let suspect_cost = if self.runs_alone { crash_cost(life, self.now) } else { 0.0 };
+        Some(
+            FULLNESS_WEIGHT * fullness
+                + INTERFERENCE_WEIGHT * interference
+                + remote_cost
+                + failed_run_cost
+                + suspect_cost,
+        )
     }
 
-    /// How much of what the worker runs would disturb the task, or be disturbed by it; `None` if so
-    /// much that the task should wait instead.
-    fn disturbance(&self, life: &Life, room: &Room) -> Option<f64> {
+    /// Returns the interference between the task and the tasks on the worker, or `None` if it is so
+    /// high that the task should wait instead.
+    fn interference(&self, life: &Life, room: &Room) -> Option<f64> {
         let spec = self.spec;
         let load = f64::from(spec.size.cpu_millis.0) / capacity_millis(life);
         match (spec.fills, spec.tail_target_ms.is_some()) {
             (true, _) => {
-                let least = if spec.keeps_progress { LEAST_PACE } else { LEAST_PACE_UNMOVED };
+                let min_pace = if spec.keeps_progress { MIN_PACE } else { MIN_PACE_IMMOVABLE };
                 let headroom = room.headroom(life, self.tails);
                 let pace = |swing| headroom.expected_pace(self.tails, self.image, load, swing);
-                if pace(0.0) < least {
+                if pace(0.0) < min_pace {
                     return None;
                 }
                 let harm = headroom.added_harm(self.tails, self.image, load);
                 let slowed = 1.0 - pace(SWING);
-                let bearable = harm <= self.lateness.most_harm();
-                bearable.then_some(slowed + harm + SCARCITY * headroom.tolerance)
+                let is_acceptable = harm <= self.lateness.max_added_harm();
+                is_acceptable.then_some(slowed + harm + SCARCITY_WEIGHT * headroom.tolerance)
             }
             (_, true) => {
                 let stress = added(self.tails, &full_loads(life), self.image).min(1.0);
-                let foreign = room.headroom(life, self.tails).is_foreign(self.image);
-                Some(stress + if foreign { OTHER_IMAGE } else { 0.0 })
+                let serves_only_others =
+                    room.headroom(life, self.tails).serves_only_other_images(self.image);
+                Some(stress + if serves_only_others { OTHER_IMAGE_WEIGHT } else { 0.0 })
             }
             _ => Some(0.0),
         }
     }
 
-    /// Whether a worker with room for the task has room for it beside what is about to be placed there.
+    /// Returns whether a worker with room for the task still has it once the gang members chosen
+    /// for it are started.
     fn has_room(&self, no: LifeNo, life: &Life, room: &Room) -> bool {
         if life.runs().contains_key(&self.name) || room.has_lone_suspect {
             return false;
         }
-        let members_here = self.members.iter().filter(|&&member| member == no).count() as u32;
-        if self.runs_alone && members_here > 0 {
+        let members_on_worker = self.members.iter().filter(|&&member| member == no).count() as u32;
+        if self.runs_alone && members_on_worker > 0 {
             return false;
         }
-        !self.has_most_siblings(life, members_here)
-            && room.left.fits_beside(self.spec, members_here)
+        !self.is_at_step_limit(life, members_on_worker)
+            && room.left.fits_beside(self.spec, members_on_worker)
     }
 
-    /// Whether a worker has as many tasks of the step as it may have.
-    fn has_most_siblings(&self, life: &Life, members_here: u32) -> bool {
-        let Some(most) = self.spec.max_per_worker else { return false };
+    /// Returns whether a worker already runs as many tasks of the step as `max_per_worker` allows.
+    fn is_at_step_limit(&self, life: &Life, members_on_worker: u32) -> bool {
+        let Some(max_tasks) = self.spec.max_per_worker else { return false };
         let same_step = |other: &&TaskName| other.step_name() == self.name.step_name();
-        let siblings = life.runs().keys().filter(same_step).count() as u32;
-        siblings + members_here >= most
+        let step_tasks = life.runs().keys().filter(same_step).count() as u32;
+        step_tasks + members_on_worker >= max_tasks
     }
 }
 
-/// How bad a place a worker is for a task that may crash it.
-fn lost_beside(life: &Life, now: Time) -> f64 {
-    let unheard_for = life.heard_at.map_or(Duration::ZERO, |heard_at| now.since(heard_at));
-    let unheard = UNHEARD_FOR_S * unheard_for.as_secs_f64();
-    let fell = if life.fell_of_late { FELL_OF_LATE } else { 0.0 };
-    let weight = |run: &RunThere| if run.lasts { LOST_LASTING_BESIDE } else { LOST_BESIDE };
-    fell + unheard + life.runs().values().map(weight).sum::<f64>()
+/// Returns the cost of placing a task suspected of crashing workers on a worker.
+fn crash_cost(life: &Life, now: Time) -> f64 {
+    let silent_for = life.heard_at.map_or(Duration::ZERO, |heard_at| now.since(heard_at));
+    let silence_cost = SILENCE_WEIGHT_PER_S * silent_for.as_secs_f64();
+    let recent_crash_cost = if life.fell_of_late { RECENT_CRASH_WEIGHT } else { 0.0 };
+    let weight =
+        |run: &RunThere| if run.lasts { LOST_LONG_RUNNING_WEIGHT } else { LOST_RUN_WEIGHT };
+    recent_crash_cost + silence_cost + life.runs().values().map(weight).sum::<f64>()
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/headroom.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/headroom.rs
@@ -1,4 +1,4 @@
-//! What serves on a worker, and how much of what fills beside it that can take.
+//! Computes how much interference from best-effort tasks the serving tasks on a worker can take.
 
 use super::{
     super::{life::Life, run::RunThere},
@@ -7,52 +7,54 @@
     tails::{ImageNo, TailModel},
 };
 
-/// Stress this far below the target of a serving task starts to count as harm, and harm grows with the
-/// square from there to 1 at the target. Own loads swing by some two tenths in seconds, twice that
-/// between their lowest and highest.
-const HARM_FROM: f64 = 0.4;
+/// The distance to the stress at which a serving task reaches its target, below which harm is
+/// counted. Harm grows with the square of the distance closed, up to 1 at the target. The own load
+/// of a task varies by about 0.2 of stress within seconds, so its lowest and highest values differ
+/// by twice that.
+const HARM_MARGIN: f64 = 0.4;
 
-/// What serves on a worker, and how much of what fills beside it that can take.
+/// The serving tasks on a worker, and how much interference from best-effort tasks they can take.
 #[derive(Debug, Clone)]
 pub(super) struct Headroom {
-    /// What serves there, by image.
-    serving: Vec<Serving>,
-    /// What each task that serves there can take still.
-    margins: Vec<Margin>,
-    /// The share of all images that fill which disturb nothing there, 0 to 1.
+    /// The serving tasks on the worker, by image.
+    serving_by_image: Vec<ServingTasks>,
+    /// The margin of each serving task on the worker.
+    task_margins: Vec<Margin>,
+    /// The share of all best-effort images that interfere with nothing on the worker, 0 to 1.
     pub(super) tolerance: f64,
 }
 
-/// What one task that serves can take still.
+/// How much more stress one serving task can take.
 #[derive(Debug, Clone, Copy)]
 struct Margin {
     image: ImageNo,
-    /// The stress between what it is under, with all that fills beside it, and its target.
+    /// The difference between the stress at the target and the current stress, with all best-effort
+    /// tasks beside it at full speed.
     stress: f64,
-    /// How much it is harmed by now.
+    /// The harm to the task at present.
     harm: f64,
 }
 
-/// The tasks of one image that serve on a worker.
+/// The serving tasks of one image on a worker.
 #[derive(Debug, Clone)]
-struct Serving {
+struct ServingTasks {
     image: ImageNo,
-    /// How much stress the most stressed of them can take beside its own.
-    left: f64,
-    /// What fills there adds, at full speed.
+    /// The added stress that the most loaded of these tasks can take.
+    spare_stress: f64,
+    /// The stress that the best-effort tasks on the worker add, at full speed.
     added: f64,
 }
 
 impl Headroom {
     pub(super) fn of(life: &Life, tails: &TailModel) -> Self {
-        let serving = serving(life, tails);
-        let images = serving.iter().map(|serving| serving.image).collect::<Vec<_>>();
+        let serving_by_image = serving_by_image(life, tails);
+        let images = serving_by_image.iter().map(|serving| serving.image).collect::<Vec<_>>();
         let tolerance = tails.tolerance(&images, SLIGHT_EFFECT);
-        Self { margins: margins(life, tails), tolerance, serving }
+        Self { task_margins: task_margins(life, tails), tolerance, serving_by_image }
     }
 
-    /// The share of its full speed that a task that fills would be let work at, 0 to 1, if the own
-    /// stress of what serves there rises by `swing`.
+    /// Returns the share of its full speed at which a best-effort task would run, 0 to 1, if the
+    /// own stress of the serving tasks rises by `swing`.
     pub(super) fn expected_pace(
         &self,
         tails: &TailModel,
@@ -60,61 +62,68 @@
         load: f64,
         swing: f64,
     ) -> f64 {
-        let pace_beside = |serving: &Serving| {
+        let pace_limit = |serving: &ServingTasks| {
             let effect = tails.effect(image, serving.image);
-            let left = serving.left - swing - serving.added;
-            if effect < SLIGHT_EFFECT { 1.0 } else { (left / (effect * load)).clamp(0.0, 1.0) }
+            let spare_stress = serving.spare_stress - swing - serving.added;
+            if effect < SLIGHT_EFFECT {
+                1.0
+            } else {
+                (spare_stress / (effect * load)).clamp(0.0, 1.0)
+            }
         };
-        self.serving.iter().map(pace_beside).fold(1.0, f64::min)
+        self.serving_by_image.iter().map(pace_limit).fold(1.0, f64::min)
     }
 
-    /// How much harm a task that fills would add to all that serves there: 1 for each task that it
-    /// would take from far below its target to its target.
+    /// Returns how much harm a best-effort task would add to all serving tasks on the worker: 1 for
+    /// each serving task that it would take from far below its target to its target.
     pub(super) fn added_harm(&self, tails: &TailModel, image: ImageNo, load: f64) -> f64 {
         let added = |margin: &Margin| {
             let stress = tails.effect(image, margin.image) * load;
             harm(margin.stress - stress) - margin.harm
         };
-        self.margins.iter().map(added).sum()
+        self.task_margins.iter().map(added).sum()
     }
 
-    /// Whether something of another image serves there, and nothing of this one.
-    pub(super) fn is_foreign(&self, image: ImageNo) -> bool {
-        !self.serving.is_empty() && self.serving.iter().all(|serving| serving.image != image)
+    /// Returns whether the worker runs serving tasks, but none of the given image.
+    pub(super) fn serves_only_other_images(&self, image: ImageNo) -> bool {
+        !self.serving_by_image.is_empty()
+            && self.serving_by_image.iter().all(|serving| serving.image != image)
     }
 }
 
-/// How much a task that serves is harmed with so much stress left to its target.
+/// Returns the harm to a serving task whose stress is `margin` below the stress at its target.
 fn harm(margin: f64) -> f64 {
-    let depth = (1.0 - margin / HARM_FROM).max(0.0);
-    depth * depth
+    let excess = (1.0 - margin / HARM_MARGIN).max(0.0);
+    excess * excess
 }
 
-fn margins(life: &Life, tails: &TailModel) -> Vec<Margin> {
+fn task_margins(life: &Life, tails: &TailModel) -> Vec<Margin> {
     let loads = full_loads(life);
     let margin = |run: &RunThere| {
-        let added = loads.iter().map(|&(fills, load)| tails.effect(fills, run.image) * load);
+        let added = loads
+            .iter()
+            .map(|&(best_effort_image, load)| tails.effect(best_effort_image, run.image) * load);
         let target_ms = run.tail_target_ms.unwrap_or(1) as f64;
-        let most = tails.stress_at(run.image, target_ms, 1.0);
-        let stress = most - run.own_stress.mean - added.sum::<f64>();
+        let stress_at_target = tails.stress_at(run.image, target_ms, 1.0);
+        let stress = stress_at_target - run.own_stress.mean - added.sum::<f64>();
         Margin { image: run.image, stress, harm: harm(stress) }
     };
     life.runs().values().filter(|run| run.serves()).map(margin).collect()
 }
 
-fn serving(life: &Life, tails: &TailModel) -> Vec<Serving> {
+fn serving_by_image(life: &Life, tails: &TailModel) -> Vec<ServingTasks> {
     let loads = full_loads(life);
-    let mut serving = Vec::<Serving>::new();
+    let mut serving_by_image = Vec::<ServingTasks>::new();
     for run in life.runs().values().filter(|run| run.serves()) {
         let target_ms = run.tail_target_ms.unwrap_or(1) as f64;
-        let left = tails.stress_at(run.image, target_ms, AIM) - run.own_stress.mean;
-        match serving.iter_mut().find(|serving| serving.image == run.image) {
-            Some(known) => known.left = known.left.min(left),
+        let spare_stress = tails.stress_at(run.image, target_ms, AIM) - run.own_stress.mean;
+        match serving_by_image.iter_mut().find(|serving| serving.image == run.image) {
+            Some(same_image) => same_image.spare_stress = same_image.spare_stress.min(spare_stress),
             None => {
                 let added = added(tails, &loads, run.image);
-                serving.push(Serving { image: run.image, left, added });
+                serving_by_image.push(ServingTasks { image: run.image, spare_stress, added });
             }
         }
     }
-    serving
+    serving_by_image
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/lateness.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/lateness.rs
@@ -1,67 +1,70 @@
-//! How far a job is behind what its queue promises.
+//! Classifies how far a job is behind the target time of its queue.
 
 use super::super::job::Job;
 use crate::Time;
 
-/// A job that takes more than so many times what its queue promises is worth little to its caller.
-const LATEST: u32 = 3;
+/// The multiple of the queue's target time after which a job is hopeless: its result is worth
+/// little to the caller by then.
+const HOPELESS_FACTOR: u32 = 3;
 
-/// The most harm ([`Room::added_harm`](super::room::Room::added_harm)) that a task that fills may add
-/// where it is started: it waits for a better place instead. Batch work has some slack; a service
-/// that is harmed has none.
-const MOST_HARM: f64 = 0.8;
-/// The same for a job that waited for so long that it is hopeless: it must not wait for ever where
-/// services are busy all the time. What serves is still kept at its target by slowing the task.
-const MOST_HARM_HOPELESS: f64 = 4.0;
+/// The most harm ([`Headroom::added_harm`](super::headroom::Headroom::added_harm)) that a
+/// best-effort task may add to serving tasks on the worker where it starts; above it the task waits
+/// for a better worker. Batch work has some slack, a service that is harmed has none.
+const MAX_ADDED_HARM: f64 = 0.8;
+/// The same for a task of a hopeless job, which must not wait forever where services are always
+/// busy. Serving tasks are still kept at their target by slowing the best-effort task.
+const MAX_ADDED_HARM_HOPELESS: f64 = 4.0;
 
-/// How far a job is behind what its queue promises. What can still be in time goes first: it is
-/// worth most, and under overload the late ones would make all others late.
+/// How far a job is behind the target time of its queue. Jobs that can still complete in time go
+/// first: they are worth most, and under overload the late jobs would make all others late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Lateness {
     InTime,
     Late,
-    /// Later than [`LATEST`] times what was promised.
+    /// Later than [`HOPELESS_FACTOR`] times the target time.
     Hopeless,
 }
 
 impl Lateness {
     pub(super) fn of(job: &Job, now: Time) -> Self {
-        let promised = job.due_at.since(job.accepted_at);
+        let target = job.due_at.since(job.accepted_at);
         match now.since(job.accepted_at) {
             _ if job.lasts() || job.spec.schedule.is_some() => Self::InTime,
-            waited if waited <= promised => Self::InTime,
-            waited if waited <= promised * LATEST => Self::Late,
+            waited if waited <= target => Self::InTime,
+            waited if waited <= target * HOPELESS_FACTOR => Self::Late,
             _ => Self::Hopeless,
         }
     }
 
-    /// The most harm that a task that fills may add where it is started.
-    pub(super) fn most_harm(self) -> f64 {
+    /// Returns the most harm that a best-effort task may add on the worker where it starts.
+    pub(super) fn max_added_harm(self) -> f64 {
         match self {
-            Self::InTime | Self::Late => MOST_HARM,
-            Self::Hopeless => MOST_HARM_HOPELESS,
+            Self::InTime | Self::Late => MAX_ADDED_HARM,
+            Self::Hopeless => MAX_ADDED_HARM_HOPELESS,
         }
     }
 }
 
-/// In which order jobs of one priority are served: the first ones first.
+/// The order in which jobs of the same priority are placed, first variant first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Turn {
-    /// It can be in time, or lasted before.
+pub(super) enum PlacementRank {
+    /// Jobs that can complete in time, and long-running jobs that ran before.
     InTime,
-    /// It is to last, and never ran. It takes its room for long, so work that can be in time goes first.
-    LastsAnew,
-    /// It is worth little to its caller by now. What lasts goes before it: on a fleet that has lost many of its
-    /// workers, such jobs would keep what lasts waiting for as long as they are there.
+    /// Long-running jobs that never ran. They occupy their room for long, so jobs that can complete
+    /// in time go first.
+    NewLongRunning,
+    /// Jobs whose result is worth little by now. Long-running jobs go before them: on a fleet that
+    /// lost many of its workers, late jobs would otherwise keep long-running jobs waiting without
+    /// end.
     Late,
-    /// The same, and less.
+    /// Jobs whose result is worth even less.
     Hopeless,
 }
 
-impl Turn {
+impl PlacementRank {
     pub(super) fn of(job: &Job, now: Time) -> Self {
         match Lateness::of(job, now) {
-            _ if job.lasts() && !job.begun && !job.inherited => Self::LastsAnew,
+            _ if job.lasts() && !job.begun && !job.inherited => Self::NewLongRunning,
             Lateness::InTime => Self::InTime,
             Lateness::Late => Self::Late,
             Lateness::Hopeless => Self::Hopeless,
--- a/crates/kitetrail-core/src/jobs/scheduler/pass.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pass.rs
@@ -44,7 +44,7 @@
     pub(super) fn has_no_room_for(&self, spec: &StepSpec, lateness: Lateness) -> bool {
         self.full.iter().any(|(full, late)| {
             full.fills == spec.fills
-                && late.most_harm() >= lateness.most_harm()
+                && late.max_added_harm() >= lateness.max_added_harm()
                 && full.image == spec.image
                 && full.size.fits_in(&spec.size)
                 && (full.max_per_worker.is_none() && full.label.is_none())
--- a/crates/kitetrail-core/src/jobs/scheduler/place.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/place.rs
@@ -17,7 +17,7 @@
     },
     Scheduler,
     fit::Fit,
-    lateness::{Lateness, Turn},
+    lateness::{Lateness, PlacementRank},
     pass::Pass,
     ranking::Ranking,
     room::Room,
@@ -43,7 +43,7 @@
         );
         let key = |&(priority, due_at, id): &(u32, Time, JobId)| {
             let job = self.jobs.get(&id).filter(|job| job.may_wait)?;
-            Some((priority, Turn::of(job, self.now), due_at, id))
+            Some((priority, PlacementRank::of(job, self.now), due_at, id))
         };
         let mut waiting = self.open.iter().filter_map(key).collect::<Vec<_>>();
         waiting.sort_unstable();
--- a/crates/kitetrail-core/src/jobs/scheduler/tails.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/tails.rs
@@ -10,7 +10,7 @@
 
 use super::{
     super::record::{EffectsRecord, ServingEffects},
-    filter::{EFFECT_PRIOR, Estimate, MOST_STRESS, ServingImage},
+    filter::{EFFECT_PRIOR, Estimate, MAX_STRESS, ServingImage},
 };
 use crate::Time;
 
@@ -137,7 +137,7 @@
         let tail_ms = tail.tail_ms.max(1.0);
         image.lowest_ms = Some(image.lowest_ms.unwrap_or(tail_ms).min(tail_ms));
         let unloaded_ms = unloaded_ms(image.lowest_ms, tail.target_ms);
-        let stress = (1.0 - unloaded_ms / tail_ms).clamp(0.0, MOST_STRESS);
+        let stress = (1.0 - unloaded_ms / tail_ms).clamp(0.0, MAX_STRESS);
         own.drift(tail.gap_s);
         image.drift(tail.at);
         image.learn(own, loads, stress);
