--- a/crates/kitetrail-core/src/jobs/scheduler/fit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/fit.rs
@@ -10,7 +10,7 @@
         spec::StepSpec,
     },
     lateness::Lateness,
-    pace::SWING,
+    pace::OWN_STRESS_RISE,
     room::{Room, added, capacity_millis, full_loads},
     short_work::ShortWork,
     tails::{ImageNo, TailModel},
@@ -121,7 +121,7 @@
                     return None;
                 }
                 let harm = headroom.added_harm(self.tails, self.image, load);
-                let slowed = 1.0 - pace(SWING);
+                let slowed = 1.0 - pace(OWN_STRESS_RISE);
                 let is_acceptable = harm <= self.lateness.max_added_harm();
                 is_acceptable.then_some(slowed + harm + SCARCITY_WEIGHT * headroom.tolerance)
             }
--- a/crates/kitetrail-core/src/jobs/scheduler/headroom.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/headroom.rs
@@ -2,7 +2,7 @@
 
 use super::{
     super::{life::Life, run::RunThere},
-    pace::AIM,
+    pace::TARGET_SHARE,
     room::{SLIGHT_EFFECT, added, full_loads},
     tails::{ImageNo, TailModel},
 };
@@ -116,7 +116,8 @@
     let mut serving_by_image = Vec::<ServingTasks>::new();
     for run in life.runs().values().filter(|run| run.serves()) {
         let target_ms = run.tail_target_ms.unwrap_or(1) as f64;
-        let spare_stress = tails.stress_at(run.image, target_ms, AIM) - run.own_stress.mean;
+        let spare_stress =
+            tails.stress_at(run.image, target_ms, TARGET_SHARE) - run.own_stress.mean;
         match serving_by_image.iter_mut().find(|serving| serving.image == run.image) {
             Some(same_image) => same_image.spare_stress = same_image.spare_stress.min(spare_stress),
             None => {
--- a/crates/kitetrail-core/src/jobs/scheduler/overload.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/overload.rs
@@ -1,119 +1,124 @@
-//! What is left out while an owner has less processor time than its fleet asks for.
+//! Sheds work while the owner has less processor time than its fleet needs.
 //!
-//! The one measure is the *lag*: how much later than due the owner got to look at the clock. All that it
-//! reads and sends waits as long. Work is left out in this order, each with a threshold of its own: moves and
-//! copies, frequent holds, new starts, new jobs. Never left out: ends, renewals of leases, cancels, states.
-//! See `docs/design/overload.md`.
+//! Load is measured by the *lag* alone: how much later than due the owner read the clock. All that
+//! it receives and sends is delayed as much. Work is shed in this order, each kind at a threshold
+//! of its own: moves and copies, frequent holds, new starts, new jobs. Never shed are ends, lease
+//! renewals, cancellations and state queries. See `docs/design/overload.md`.
 
 use std::time::Duration;
 
 use crate::Time;
 
-/// Over how long the measured lag fades. Long enough to bridge the pauses between bursts of events, short
-/// beside the leases, 4 s.
-const FADES_OVER: Duration = Duration::from_millis(1_000);
-/// From this lag on no run is moved or copied. Each search weighs every worker, and what is known of
-/// progress is older than the 1.3 s after which a run counts as standing still by then.
-const MOVES_END_AT: Duration = Duration::from_millis(100);
-/// From this lag on nothing is started: each start brings four more events, and an owner this late keeps its
-/// other promises with a reserve of a few hundred milliseconds only. Other boxes doubt it at 0.25 s.
-const STARTS_END_AT: Duration = Duration::from_millis(300);
-/// Starts go on below this lag: half, so that they don't begin and end with each burst.
-const STARTS_GO_ON_AT: Duration = Duration::from_millis(150);
-/// From this lag on a worker that did not answer in time proves nothing by it: its answer may be here, unread.
-/// Calls are given three times the time that their timers fired late; this is a third of the least such time.
-const SILENCE_PROVES_BELOW: Duration = Duration::from_millis(150);
-/// How many tasks are started in one pass at first, once starts go on: of 890 workers some 28 are started on
-/// in each pass, every 20 ms, at full load.
-const FIRST_STARTS: u32 = 8;
-/// By which part of it that number grows in each pass that finds little lag: what waited for 2 s is started
-/// within half a second more. All of it in one pass would make the owner late again.
-const MORE_STARTS_PART: u32 = 4;
-/// So little lag that more may be started in the next pass.
-const STARTS_GROW_BELOW: Duration = Duration::from_millis(100);
-/// No bound on the starts of a pass.
-const ANY_STARTS: u32 = u32::MAX;
-/// From this lag on new jobs are refused: their answers would come after the 0.9 s that boxes wait, so
-/// that callers could only be told that their job is in doubt.
-const JOBS_END_AT: Duration = Duration::from_millis(700);
-/// Jobs are taken again below this lag.
-const JOBS_GO_ON_AT: Duration = Duration::from_millis(350);
-/// By how many times the lag the pause before the next hold of a worker grows, so that fewer holds are asked
-/// for until those that are come in time.
-const PAUSES_PER_LAG: u32 = 4;
-/// But no more than this: with the time that a worker may wait, leases of 4 s are renewed once a second and
-/// a half at least.
-const LONGEST_PAUSE: Duration = Duration::from_millis(900);
+/// The time constant of the decay of the measured lag. It is long enough to bridge the pauses
+/// between bursts of events, and short beside the leases of 4 s.
+const LAG_DECAY_TIME: Duration = Duration::from_millis(1_000);
+/// The lag from which no run is moved or copied. Each search scores every worker, and at this lag
+/// the known progress is older than the 1.3 s after which a run counts as stalled.
+const MOVES_STOP_LAG: Duration = Duration::from_millis(100);
+/// The lag from which no task is started. Each start causes four more events, and an owner this
+/// late keeps its other promises with a reserve of only a few hundred milliseconds. Other boxes
+/// suspect it at 0.25 s.
+const STARTS_STOP_LAG: Duration = Duration::from_millis(300);
+/// The lag below which starts resume. Half of the threshold above, so that starts don't stop and
+/// resume with each burst of events.
+const STARTS_RESUME_LAG: Duration = Duration::from_millis(150);
+/// The lag from which a worker that did not answer in time is not considered silent: its answer may
+/// have arrived without being read. Calls are given three times the delay with which their timers
+/// fired; this is a third of the shortest such time.
+const SILENCE_UNCERTAIN_LAG: Duration = Duration::from_millis(150);
+/// The number of tasks started in the first pass after starts resume. At full load some 28 tasks
+/// are started on 890 workers in each pass, every 20 ms.
+const RESUMED_STARTS_PER_PASS: u32 = 8;
+/// The divisor of the growth of that number in each pass with little lag: tasks that waited for 2 s
+/// are started within another half second. Starting all of them in one pass would make the owner
+/// late again.
+const STARTS_GROWTH_DIVISOR: u32 = 4;
+/// The lag below which the number of starts per pass grows.
+const STARTS_GROW_LAG: Duration = Duration::from_millis(100);
+/// The number of starts per pass without a limit.
+const UNLIMITED_STARTS: u32 = u32::MAX;
+/// The lag from which new jobs are refused. Answers would arrive after the 0.9 s that boxes wait,
+/// so callers would only learn that their job is in doubt.
+const JOBS_REFUSE_LAG: Duration = Duration::from_millis(700);
+/// The lag below which jobs are accepted again.
+const JOBS_RESUME_LAG: Duration = Duration::from_millis(350);
+/// The multiple of the lag that is added to the pause before the next hold of a worker, so that
+/// fewer holds are requested until the pending ones are answered in time.
+const HOLD_PAUSE_FACTOR: u32 = 4;
+/// The longest added pause. With the time that a worker may delay its answer, leases of 4 s are
+/// still renewed at least every 1.5 s.
+const MAX_HOLD_PAUSE: Duration = Duration::from_millis(900);
 
-/// How far the owner lags, and what it leaves out.
+/// The lag of the owner, and the work it sheds.
 #[derive(Debug)]
 pub(super) struct Overload {
     lag: Duration,
-    noted_at: Time,
-    /// How many tasks may be started in a pass.
+    measured_at: Time,
+    /// The most tasks that may be started in one pass.
     starts_per_pass: u32,
-    jobs_end: bool,
+    refuses_jobs: bool,
 }
 
 impl Default for Overload {
     fn default() -> Self {
         Self {
             lag: Duration::ZERO,
-            noted_at: Time::ZERO,
-            starts_per_pass: ANY_STARTS,
-            jobs_end: false,
+            measured_at: Time::ZERO,
+            starts_per_pass: UNLIMITED_STARTS,
+            refuses_jobs: false,
         }
     }
 }
 
 impl Overload {
-    /// The lag of late: the longest, fading.
+    /// Returns the highest recent lag, which decays over time.
     pub(super) fn lag(&self) -> Duration {
         self.lag
     }
 
-    /// Whether runs may be moved and copied.
-    pub(super) fn moves(&self) -> bool {
-        self.lag < MOVES_END_AT
+    /// Returns whether runs may be moved and copied.
+    pub(super) fn may_move(&self) -> bool {
+        self.lag < MOVES_STOP_LAG
     }
 
-    /// How many tasks may be started in a pass.
+    /// Returns the most tasks that may be started in one pass.
     pub(super) fn starts_per_pass(&self) -> u32 {
         self.starts_per_pass
     }
 
-    /// Whether a worker that did not answer in time is silent, and not the owner late.
+    /// Returns whether a worker that did not answer in time is silent, rather than the owner late.
     pub(super) fn silence_proves(&self) -> bool {
-        self.lag < SILENCE_PROVES_BELOW
+        self.lag < SILENCE_UNCERTAIN_LAG
     }
 
-    /// Whether new jobs are taken.
+    /// Returns whether new jobs are accepted.
     pub(super) fn takes_jobs(&self) -> bool {
-        !self.jobs_end
+        !self.refuses_jobs
     }
 
-    /// How much longer than usual a worker that runs something is left alone between two holds.
+    /// Returns the time added to the usual pause between two holds of a worker with runs.
     pub(super) fn hold_pause(&self) -> Duration {
-        (self.lag * PAUSES_PER_LAG).min(LONGEST_PAUSE)
+        (self.lag * HOLD_PAUSE_FACTOR).min(MAX_HOLD_PAUSE)
     }
 
-    /// Takes note of how late the owner is now. Returns whether it takes jobs, if that changed.
+    /// Records the current lag. Returns whether jobs are accepted, if that changed.
     pub(super) fn note_lag(&mut self, lag: Duration, now: Time) -> Option<bool> {
-        let gap_s = now.since(self.noted_at).as_secs_f64();
-        self.noted_at = now;
-        let faded = self.lag.mul_f64((-gap_s / FADES_OVER.as_secs_f64()).exp());
-        self.lag = lag.max(faded);
+        let gap_s = now.since(self.measured_at).as_secs_f64();
+        self.measured_at = now;
+        let decayed = self.lag.mul_f64((-gap_s / LAG_DECAY_TIME.as_secs_f64()).exp());
+        self.lag = lag.max(decayed);
         self.starts_per_pass = match self.starts_per_pass {
-            _ if self.lag >= STARTS_END_AT => 0,
-            0 if self.lag < STARTS_GO_ON_AT => FIRST_STARTS,
-            starts if self.lag < STARTS_GROW_BELOW => {
-                starts.saturating_add(starts / MORE_STARTS_PART)
+            _ if self.lag >= STARTS_STOP_LAG => 0,
+            0 if self.lag < STARTS_RESUME_LAG => RESUMED_STARTS_PER_PASS,
+            starts if self.lag < STARTS_GROW_LAG => {
+                starts.saturating_add(starts / STARTS_GROWTH_DIVISOR)
             }
             starts => starts,
         };
-        let took_jobs = self.takes_jobs();
-        self.jobs_end = self.lag >= if self.jobs_end { JOBS_GO_ON_AT } else { JOBS_END_AT };
-        (took_jobs != self.takes_jobs()).then_some(self.takes_jobs())
+        let took_jobs_before = self.takes_jobs();
+        self.refuses_jobs =
+            self.lag >= if self.refuses_jobs { JOBS_RESUME_LAG } else { JOBS_REFUSE_LAG };
+        (took_jobs_before != self.takes_jobs()).then_some(self.takes_jobs())
     }
 }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/pace.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pace.rs
@@ -1,4 +1,5 @@
-//! Keeps what serves below its target by slowing what fills beside it, and no more than needed.
+//! Keeps serving tasks below their target latency by slowing the best-effort tasks beside them, no
+//! more than needed.
 
 use std::{collections::BTreeMap, mem, time::Duration};
 
@@ -16,25 +17,26 @@
 };
 use crate::Time;
 
-/// The share of its target that a tail is to stay below before what fills beside it is slowed. All of
-/// it: where a task would do much harm it is not started, so slowing is for what was not foreseen.
-pub(super) const AIM: f64 = 1.0;
-/// How much a task's own stress may rise while what is placed beside it runs. Loads swing by some
-/// two tenths within seconds; where a task may go matters most at the top.
-pub(super) const SWING: f64 = 0.1;
-/// Paces are multiples of this, in percent, so that small changes cost no orders.
+/// The share of its target below which a tail latency is kept by slowing best-effort tasks. All of
+/// it: a task that would do much harm is not started, so slowing is only for what was not foreseen.
+pub(super) const TARGET_SHARE: f64 = 1.0;
+/// The assumed rise of a task's own stress while a best-effort task placed beside it runs. Loads
+/// vary by about 0.2 within seconds, and the placement matters most when they are high.
+pub(super) const OWN_STRESS_RISE: f64 = 0.1;
+/// The granularity of paces in percent, so that small changes cause no orders.
 const PACE_STEP_PERCENT: u8 = 20;
-/// How long a pace holds at least before it is raised: the gauges tell of the last half second.
-const RAISE_AFTER: Duration = Duration::from_millis(600);
-/// After so long above its target, two reports or more, all that fills beside a tail is halted,
-/// whatever the model says. Well below the time that the platform forgives.
-const HALT_WHEN_OVER_FOR: Duration = Duration::from_millis(1_700);
+/// The least time for which a pace is held before it is raised: gauges cover the last half second.
+const RAISE_DELAY: Duration = Duration::from_millis(600);
+/// The time above its target, at least two reports, after which all best-effort tasks beside a
+/// serving task are halted, whatever the model predicts. Well below the time that the platform
+/// tolerates.
+const HALT_AFTER_OVER_TARGET: Duration = Duration::from_millis(1_700);
 
-/// A pace for each image that fills on a worker, as a share of its speed, 0 to 1.
+/// The pace of each best-effort image on a worker, as a share of its full speed, 0 to 1.
 type Shares = BTreeMap<ImageNo, f64>;
 
 impl Scheduler {
-    /// Learns from the newest report of a worker and paces what fills there.
+    /// Learns from the latest report of a worker, and adjusts the pace of its best-effort runs.
     pub(super) fn control_pace(&mut self, no: LifeNo) {
         let Some(life) = self.lives.get_mut(no) else { return };
         gauges::learn(&mut self.tails, life, self.now);
@@ -42,43 +44,43 @@
         self.move_slowed(no);
     }
 
-    /// Paces what fills on a worker by what is known now, and tells it.
+    /// Computes the pace of the best-effort runs on a worker from the current state, and orders it.
     pub(super) fn repace(&mut self, no: LifeNo) {
         let now = self.now;
         let Some(life) = self.lives.get_mut(no) else { return };
-        let before = mem::take(&mut life.paces);
+        let previous_paces = mem::take(&mut life.paces);
         if !life.fills() {
             return;
         }
-        let mut changed = Vec::new();
+        let mut changed_percents = Vec::new();
         for (image, share) in shares(&self.tails, life, now) {
-            let held = before.get(&image).copied();
-            let held = held.unwrap_or(Pace { percent: FULL_PACE_PERCENT, since: now });
-            let pace = next_pace(held, share, now);
-            if pace.percent != held.percent {
-                changed.push(pace.percent);
+            let current = previous_paces.get(&image).copied();
+            let current = current.unwrap_or(Pace { percent: FULL_PACE_PERCENT, since: now });
+            let pace = next_pace(current, share, now);
+            if pace.percent != current.percent {
+                changed_percents.push(pace.percent);
             }
             life.paces.insert(image, pace);
         }
-        if let Some(percent) = changed.into_iter().min() {
+        if let Some(percent) = changed_percents.into_iter().min() {
             let worker = life.id().clone();
             let tail_of_target_percent = worst_tail_percent(life).unwrap_or(0);
             self.out.push(Action::Note(Note::Paced { worker, percent, tail_of_target_percent }));
         }
-        self.tell_pace(no);
+        self.order_paces(no);
     }
 
-    /// Tells filling runs their share where it is not what they were told.
-    fn tell_pace(&mut self, no: LifeNo) {
+    /// Orders the pace of best-effort runs where it differs from the last order.
+    fn order_paces(&mut self, no: LifeNo) {
         let Some(life) = self.lives.get_mut(no) else { return };
         let mut orders = Vec::new();
         let paces = life.paces.clone();
-        for (task, there) in life.runs_mut() {
-            let percent = paces.get(&there.image).map_or(FULL_PACE_PERCENT, |pace| pace.percent);
-            let differs = there.fills && !there.stopping && there.paced_percent != percent;
-            if differs && there.is_running() {
-                there.paced_percent = percent;
-                orders.push(Order::Pace { task, run: there.run, percent });
+        for (task, run) in life.runs_mut() {
+            let percent = paces.get(&run.image).map_or(FULL_PACE_PERCENT, |pace| pace.percent);
+            let differs_from_order = run.fills && !run.stopping && run.paced_percent != percent;
+            if differs_from_order && run.is_running() {
+                run.paced_percent = percent;
+                orders.push(Order::Pace { task, run: run.run, percent });
             }
         }
         for order in orders {
@@ -87,50 +89,55 @@
     }
 }
 
-/// The pace of an image that should have a share of its speed: lowered at once, raised after a
-/// while.
-fn next_pace(held: Pace, share: f64, now: Time) -> Pace {
-    let percent = quantise(share);
-    let raise = percent > held.percent && now.since(held.since) >= RAISE_AFTER;
-    if percent < held.percent || raise { Pace { percent, since: now } } else { held }
+/// Returns the next pace of an image that should run at a share of its full speed. Paces are
+/// lowered at once and raised after a delay.
+fn next_pace(current: Pace, share: f64, now: Time) -> Pace {
+    let percent = round_down_to_step(share);
+    let raise = percent > current.percent && now.since(current.since) >= RAISE_DELAY;
+    if percent < current.percent || raise { Pace { percent, since: now } } else { current }
 }
 
-/// The pace of each image that fills, so that everything that serves stays below its aim.
+/// Returns the pace of each best-effort image with which every serving task stays below its target.
 fn shares(tails: &TailModel, life: &Life, now: Time) -> Shares {
-    let full = full_loads(life);
-    let mut shares = full.iter().map(|&(image, _)| (image, 1.0)).collect::<Shares>();
+    let full_loads_by_image = full_loads(life);
+    let mut shares = full_loads_by_image.iter().map(|&(image, _)| (image, 1.0)).collect::<Shares>();
     for run in life.runs().values().filter(|run| run.serves()) {
-        let is_cause = |&&(fills, _): &&Load| tails.effect(fills, run.image) >= SLIGHT_EFFECT;
-        let causes = full.iter().filter(is_cause).copied().collect::<Vec<_>>();
-        slow_to_aim(tails, run, &causes, &mut shares);
-        if run.over_since.is_some_and(|since| now.since(since) >= HALT_WHEN_OVER_FOR) {
+        let is_cause = |&&(best_effort_image, _): &&Load| {
+            tails.effect(best_effort_image, run.image) >= SLIGHT_EFFECT
+        };
+        let causes = full_loads_by_image.iter().filter(is_cause).copied().collect::<Vec<_>>();
+        slow_to_target(tails, run, &causes, &mut shares);
+        if run.over_since.is_some_and(|since| now.since(since) >= HALT_AFTER_OVER_TARGET) {
             shares.values_mut().for_each(|share| *share = 0.0);
         }
     }
     shares
 }
 
-/// Slows the causes of a task's stress until the model says that its tail stays below its aim.
-fn slow_to_aim(tails: &TailModel, run: &RunThere, causes: &[Load], shares: &mut Shares) {
+/// Slows the causes of a serving task's stress until the model predicts a tail latency below its
+/// target.
+fn slow_to_target(tails: &TailModel, run: &RunThere, causes: &[Load], shares: &mut Shares) {
     let target_ms = run.tail_target_ms.unwrap_or(1) as f64;
-    let left = tails.stress_at(run.image, target_ms, AIM) - run.own_stress.mean;
-    let added =
-        causes.iter().map(|(fills, load)| tails.effect(*fills, run.image) * load * shares[fills]);
+    let available_stress =
+        tails.stress_at(run.image, target_ms, TARGET_SHARE) - run.own_stress.mean;
+    let added = causes.iter().map(|(best_effort_image, load)| {
+        tails.effect(*best_effort_image, run.image) * load * shares[best_effort_image]
+    });
     let stress = added.sum::<f64>();
-    let kept = if stress > left { (left / stress).max(0.0) } else { 1.0 };
-    for (fills, _) in causes {
-        if let Some(share) = shares.get_mut(fills) {
-            *share *= kept;
+    let factor = if stress > available_stress { (available_stress / stress).max(0.0) } else { 1.0 };
+    for (best_effort_image, _) in causes {
+        if let Some(share) = shares.get_mut(best_effort_image) {
+            *share *= factor;
         }
     }
 }
 
-fn quantise(share: f64) -> u8 {
+fn round_down_to_step(share: f64) -> u8 {
     let percent = (share.clamp(0.0, 1.0) * 100.0) as u8;
     percent / PACE_STEP_PERCENT * PACE_STEP_PERCENT
 }
 
-/// The worst tail of what serves there, in percent of its target.
+/// Returns the worst tail latency of the serving tasks on a worker, in percent of its target.
 fn worst_tail_percent(life: &Life) -> Option<u32> {
     let percents = life.runs().values().filter_map(|run| {
         let target_ms = run.tail_target_ms.filter(|&target_ms| target_ms > 0)?;
--- a/crates/kitetrail-core/src/jobs/scheduler/pending.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pending.rs
@@ -1,4 +1,4 @@
-//! What waits to be kept for good, and the batch of it that is on its way.
+//! The records that wait to be persisted, and the batch of them that is in flight.
 
 use std::{collections::BTreeSet, iter, time::Duration};
 
@@ -14,71 +14,75 @@
 };
 use crate::Time;
 
-/// The most entries of a batch: the store takes 100 a transaction and the owner's own rows need a few of them.
-const MAX_ENTRIES: usize = 90;
-/// The entries that a new job takes at most: what was asked for, and how far it is.
-const ENTRIES_OF_NEW_JOB: usize = 2;
-/// The entries that a job takes that ended: how, and what was asked for, which goes.
-const ENTRIES_OF_ENDED_JOB: usize = 2;
-/// Of a full batch new jobs, jobs that ended and other jobs are left so many entries each, so that none waits for
-/// the others for good: callers wait for the first two, and workers repeat ends until the last are kept.
-const LEAST_ENTRIES: usize = MAX_ENTRIES / 3;
-/// Of a full batch so many entries go to workers' lives at most, before all else: what they say holds up starts now, or all inherited
-/// jobs after the loss of this owner. The rest still leaves some to new jobs.
-const MOST_LIVES: usize = 20;
-/// The most bytes of new jobs in a batch. The store takes 1 MB a transaction, in which each byte
-/// becomes 1.4; half of the rest is left to other records.
-const MAX_JOB_BYTES_OF_BATCH: usize = 350_000;
-/// A store that takes so long over a batch is taken for stuck: jobs are refused at once, with when
-/// to come back. It takes 5 ms, and 300 when it is slow.
-const STUCK_AFTER: Duration = Duration::from_millis(700);
-/// A job that is kept later is not worth taking: boxes wait 0.9 s for the owner's answer, and the rest of that is for the
-/// way there and back.
-const KEPT_WITHIN: Duration = Duration::from_millis(700);
-
-/// What waits to be kept for good.
+/// The most entries in a batch. The store accepts 100 per transaction, and the owner's own rows
+/// need a few of them.
+const MAX_BATCH_ENTRIES: usize = 90;
+/// The most entries that a new job takes: its specification and its progress.
+const NEW_JOB_ENTRIES: usize = 2;
+/// The entries that an ended job takes: its outcome, and the deletion of its specification.
+const ENDED_JOB_ENTRIES: usize = 2;
+/// The entries reserved in a full batch for each of new jobs, ended jobs and other jobs, so that
+/// none of them waits for the others without end: callers wait for the first two, and workers
+/// repeat ends until the last are persisted.
+const RESERVED_ENTRIES: usize = MAX_BATCH_ENTRIES / 3;
+/// The most entries for workers in a full batch, which go before all others: without these records
+/// starts are delayed now, or all inherited jobs after the loss of this owner. The limit leaves
+/// some entries to new jobs.
+const MAX_WORKER_ENTRIES: usize = 20;
+/// The most bytes of new jobs in a batch. The store accepts 1 MB per transaction, in which each
+/// byte takes 1.4; half of the rest is left to other records.
+const MAX_NEW_JOB_BYTES: usize = 350_000;
+/// The time after which a store that has not answered a batch counts as stuck, so that jobs are
+/// refused at once with a time to retry. A batch usually takes 5 ms, and 300 ms when the store is
+/// slow.
+const STORE_STUCK_AFTER: Duration = Duration::from_millis(700);
+/// The longest time to persist a new job for which it is accepted. Boxes wait 0.9 s for the owner's
+/// answer; the rest of that is for the round trip.
+const MAX_PERSIST_TIME: Duration = Duration::from_millis(700);
+
+/// The records that wait to be persisted.
 #[derive(Debug, Default)]
 pub(super) struct Pending {
     new_jobs: UniqueQueue<JobId>,
-    /// Jobs that ended. Callers who cancelled them wait.
+    /// Jobs that ended. Callers wait for those that they cancelled.
     ended: UniqueQueue<JobId>,
-    /// Other jobs with something new.
+    /// Other jobs with new progress.
     ///
-    /// What waits longest goes first, here as above. In the order of their ids instead, jobs of high ids are
-    /// passed over for as long as the store is behind.
+    /// The longest waiting job goes first, as in the queues above. In the order of their ids, jobs
+    /// with high ids would be passed over for as long as the store lags behind.
     progress: UniqueQueue<JobId>,
-    forgotten: BTreeSet<JobId>,
+    jobs_to_delete: BTreeSet<JobId>,
     new_lives: BTreeSet<LifeNo>,
-    lives_over: BTreeSet<LifeKey>,
-    /// Something is to be kept at once.
+    ended_workers: BTreeSet<LifeKey>,
+    /// Whether a record is to be persisted without delay.
     pub(super) urgent: bool,
     unkept_ends: UnkeptEnds,
-    /// When what was learned of images was kept last.
+    /// When the learned effects of images were last persisted.
     pub(super) effects_at: Time,
     next_batch: u64,
     pub(super) sent: Option<Batch>,
     pub(super) last_sent_at: Time,
-    /// The store has confirmed that this owner owned the fleet at some moment since.
+    /// A time since which the store has confirmed that this owner owned the fleet.
     confirmed_since: Option<Time>,
-    /// A batch is wanted for its confirmation, even an empty one.
+    /// Whether a batch is needed for its confirmation, even if it is empty.
     pub(super) confirmation_wanted: bool,
-    /// How long the last batch took that is kept, and when that was known.
-    last_took: Duration,
-    last_kept_at: Time,
+    /// How long the last persisted batch took, and when its answer arrived.
+    last_batch_time: Duration,
+    last_persisted_at: Time,
 }
 
-/// What a batch on its way will have settled.
+/// A batch in flight, with what is settled once it is persisted.
 #[derive(Debug)]
 pub(super) struct Batch {
     pub(super) number: u64,
     pub(super) new_jobs: Vec<JobId>,
     pub(super) outcomes: Vec<(JobId, Outcome)>,
     pub(super) lives: Vec<LifeNo>,
-    /// Starts that leave once it is kept.
+    /// Starts to order once the batch is persisted.
     pub(super) starts: Vec<KeptStart>,
 }
 
-/// What one batch keeps.
+/// The records taken for one batch.
 #[derive(Debug)]
 pub(super) struct Taken {
     pub(super) new_jobs: Vec<JobId>,
@@ -86,31 +90,37 @@
     pub(super) progress: Vec<JobId>,
     pub(super) lives_over: Vec<LifeKey>,
     pub(super) forgotten: Vec<JobId>,
-    /// Nothing else waits to be kept.
+    /// Whether no other records wait to be persisted.
     pub(super) complete: bool,
 }
 
 impl Pending {
-    /// Takes as much as a batch holds, what is most urgent first.
+    /// Takes as many records as fit into a batch, the most urgent first.
     ///
-    /// `kept_bytes` tells how much of the batch a new job takes, `has_ended` whether a job is not open any more.
+    /// `encoded_bytes` returns the size of a new job in the batch, and `has_ended` whether a job is
+    /// no longer open.
     pub(super) fn take_batch(
         &mut self,
-        kept_bytes: impl Fn(JobId) -> usize,
+        encoded_bytes: impl Fn(JobId) -> usize,
         has_ended: impl Fn(JobId) -> bool,
     ) -> Taken {
-        let for_ended = (self.ended.len() * ENTRIES_OF_ENDED_JOB).min(LEAST_ENTRIES);
-        let for_progress = self.progress.len().min(LEAST_ENTRIES);
-        let mut room = MAX_ENTRIES;
-        let lives = take_some(&mut self.new_lives, &mut room, MAX_ENTRIES - MOST_LIVES);
-        let new_jobs = self.take_new_jobs(&mut room, for_ended + for_progress, kept_bytes);
-        // What is known of a new job goes with it: its caller is told that it is kept.
-        let with_new = new_jobs.iter().copied().filter(|&id| self.remove_progress(id));
-        let mut progress = with_new.collect::<Vec<_>>();
-        progress.extend(self.take_ended(&mut room, for_progress));
+        let reserved_for_ended = (self.ended.len() * ENDED_JOB_ENTRIES).min(RESERVED_ENTRIES);
+        let reserved_for_progress = self.progress.len().min(RESERVED_ENTRIES);
+        let mut room = MAX_BATCH_ENTRIES;
+        let lives =
+            take_first(&mut self.new_lives, &mut room, MAX_BATCH_ENTRIES - MAX_WORKER_ENTRIES);
+        let new_jobs = self.take_new_jobs(
+            &mut room,
+            reserved_for_ended + reserved_for_progress,
+            encoded_bytes,
+        );
+        // The progress of a new job goes with it, since its caller is told that it is persisted.
+        let progress_of_new_jobs = new_jobs.iter().copied().filter(|&id| self.remove_progress(id));
+        let mut progress = progress_of_new_jobs.collect::<Vec<_>>();
+        progress.extend(self.take_ended(&mut room, reserved_for_progress));
         progress.extend(self.take_progress(&mut room, has_ended));
-        let lives_over = take_some(&mut self.lives_over, &mut room, 0);
-        let forgotten = take_some(&mut self.forgotten, &mut room, 0);
+        let lives_over = take_first(&mut self.ended_workers, &mut room, 0);
+        let forgotten = take_first(&mut self.jobs_to_delete, &mut room, 0);
         Taken { new_jobs, lives, progress, lives_over, forgotten, complete: self.is_empty() }
     }
 
@@ -118,48 +128,48 @@
         &mut self,
         room: &mut usize,
         reserved: usize,
-        kept_bytes: impl Fn(JobId) -> usize,
+        encoded_bytes: impl Fn(JobId) -> usize,
     ) -> Vec<JobId> {
         let (mut taken, mut bytes) = (Vec::new(), 0);
-        while *room >= reserved + ENTRIES_OF_NEW_JOB && bytes < MAX_JOB_BYTES_OF_BATCH {
+        while *room >= reserved + NEW_JOB_ENTRIES && bytes < MAX_NEW_JOB_BYTES {
             let Some(first) = self.new_jobs.pop() else { break };
-            bytes += kept_bytes(first);
+            bytes += encoded_bytes(first);
             taken.push(first);
-            *room -= ENTRIES_OF_NEW_JOB;
+            *room -= NEW_JOB_ENTRIES;
         }
         taken
     }
 
     fn take_ended(&mut self, room: &mut usize, reserved: usize) -> Vec<JobId> {
         let mut taken = Vec::new();
-        while *room >= reserved + ENTRIES_OF_ENDED_JOB {
+        while *room >= reserved + ENDED_JOB_ENTRIES {
             let Some(first) = self.ended.pop() else { break };
             self.progress.remove(&first);
             taken.push(first);
-            *room -= ENTRIES_OF_ENDED_JOB;
+            *room -= ENDED_JOB_ENTRIES;
         }
         taken
     }
 
     fn take_progress(&mut self, room: &mut usize, has_ended: impl Fn(JobId) -> bool) -> Vec<JobId> {
         let mut taken = Vec::new();
-        while *room >= ENTRIES_OF_ENDED_JOB {
+        while *room >= ENDED_JOB_ENTRIES {
             let Some(first) = self.progress.pop() else { break };
-            // With the progress of a job that ended its end is kept.
+            // The end of an ended job is persisted with its progress.
             self.ended.remove(&first);
             taken.push(first);
-            *room -= if has_ended(first) { ENTRIES_OF_ENDED_JOB } else { 1 };
+            *room -= if has_ended(first) { ENDED_JOB_ENTRIES } else { 1 };
         }
         taken
     }
 
-    /// Removes a job from those with something new; whether there was any.
+    /// Removes a job from those with new progress. Returns whether it was one of them.
     fn remove_progress(&mut self, id: JobId) -> bool {
-        // Not `||`: it may wait in both.
+        // Not `||`, since the job may be in both queues.
         self.progress.remove(&id) | self.ended.remove(&id)
     }
 
-    /// Takes note that a batch leaves, and returns its number.
+    /// Records that a batch is sent, and returns its number.
     pub(super) fn note_sent(&mut self, batch: impl FnOnce(u64) -> Batch, now: Time) -> u64 {
         let number = self.next_batch;
         self.next_batch += 1;
@@ -169,15 +179,15 @@
         number
     }
 
-    /// Whether the store has confirmed this owner by a batch that left after a moment.
+    /// Returns whether the store has confirmed this owner by a batch sent at or after `moment`.
     pub(super) fn is_confirmed_since(&self, moment: Time) -> bool {
         self.confirmed_since.is_some_and(|since| since >= moment)
     }
 
-    /// Asks for a batch that leaves after a moment, unless one is on its way.
+    /// Requests a batch sent at or after `moment`, unless one is in flight.
     pub(super) fn want_confirmation_since(&mut self, moment: Time) {
-        let on_its_way = self.sent.is_some() && self.last_sent_at >= moment;
-        self.confirmation_wanted |= !on_its_way;
+        let in_flight = self.sent.is_some() && self.last_sent_at >= moment;
+        self.confirmation_wanted |= !in_flight;
     }
 
     pub(super) fn add_job(&mut self, id: JobId) {
@@ -185,30 +195,31 @@
         self.urgent = true;
     }
 
-    /// Some task ended: to be kept soon.
+    /// Records that a task ended, to be persisted soon.
     pub(super) fn note(&mut self, id: JobId) {
         self.progress.push(id, self.unkept_ends.last_seq());
     }
 
-    /// A start of the job waits until it is kept.
+    /// Records that a start of the job waits until it is persisted.
     pub(super) fn note_soon(&mut self, id: JobId) {
         self.note(id);
         self.urgent = true;
     }
 
-    /// The job ended: to be kept at once.
+    /// Records that the job ended, to be persisted without delay.
     pub(super) fn note_urgent(&mut self, id: JobId) {
         self.ended.push(id, self.unkept_ends.last_seq());
         self.urgent = true;
     }
 
     pub(super) fn forget(&mut self, id: JobId) {
-        self.forgotten.insert(id);
+        self.jobs_to_delete.insert(id);
     }
 
-    /// A job that was about to be forgotten is handed in again: its row is written over instead.
+    /// Keeps a job that was about to be deleted and is submitted again: its row is overwritten
+    /// instead.
     pub(super) fn keep_forgotten(&mut self, id: JobId) {
-        if self.forgotten.remove(&id) {
+        if self.jobs_to_delete.remove(&id) {
             self.progress.push(id, self.unkept_ends.last_seq());
         }
     }
@@ -218,72 +229,77 @@
         self.urgent = true;
     }
 
-    /// A life's row is to be written anew, soon.
+    /// Requests that the row of a worker is soon written again.
     pub(super) fn rewrite_life(&mut self, life: LifeNo) {
         self.new_lives.insert(life);
     }
 
     pub(super) fn end_life(&mut self, life: LifeNo, key: LifeKey, is_kept: bool) {
         if !self.new_lives.remove(&life) || is_kept {
-            self.lives_over.insert(key);
+            self.ended_workers.insert(key);
         }
     }
 
-    /// Takes note of an end that a worker told, before what it changes.
+    /// Records an end that a worker reported, before the records that it changes.
     pub(super) fn note_end(&mut self, life: LifeNo, number: u64) {
         self.unkept_ends.push(life, number);
     }
 
-    /// Takes out the ends of which all that they changed is kept, while no batch is on its way.
+    /// Takes out the ends whose changes are all persisted, while no batch is in flight.
     pub(super) fn take_kept_ends(&mut self) -> Vec<ToldEnd> {
-        debug_assert!(self.sent.is_none(), "what is on its way is not kept");
+        debug_assert!(
+            self.sent.is_none(),
+            "the changes of a batch in flight are not persisted yet"
+        );
         let oldest = self.ended.oldest().into_iter().chain(self.progress.oldest()).min();
         self.unkept_ends.take_kept(oldest)
     }
 
-    /// How long ago the batch left that the store has not answered, if there is one.
+    /// Returns how long ago the batch in flight was sent, if there is one.
     pub(super) fn sent_ago(&self, now: Time) -> Option<Duration> {
         self.sent.as_ref().map(|_| now.since(self.last_sent_at))
     }
 
-    /// Takes out the batch on its way, which is kept, if it has the given number.
+    /// Takes out the batch in flight, which is persisted, if it has the given number.
     pub(super) fn take_sent(&mut self, number: u64, now: Time) -> Option<Batch> {
         let batch = self.sent.take_if(|batch| batch.number == number)?;
-        self.last_took = now.since(self.last_sent_at);
+        self.last_batch_time = now.since(self.last_sent_at);
         self.confirmed_since = Some(self.last_sent_at);
-        self.last_kept_at = now;
+        self.last_persisted_at = now;
         Some(batch)
     }
 
-    /// How long a batch takes, as far as that is known of late.
+    /// Returns the expected time for a batch, as far as it is known.
     ///
-    /// What the last one took is believed for as long again: an idle fleet sends no other that could show that the
-    /// store is well, and would refuse all jobs for good.
-    fn batch_takes(&self, now: Time) -> Duration {
+    /// The time of the last batch counts only for as long again: an idle fleet sends no other batch
+    /// that could show that the store has recovered, and would refuse all jobs from then on.
+    fn expected_batch_time(&self, now: Time) -> Duration {
         let next_at = if self.sent.is_some() { self.last_sent_at } else { now };
-        let is_recent = next_at.since(self.last_kept_at) < self.last_took;
-        let took = if is_recent { self.last_took } else { Duration::ZERO };
-        took.max(self.sent_ago(now).unwrap_or_default())
+        let is_current = next_at.since(self.last_persisted_at) < self.last_batch_time;
+        let batch_time = if is_current { self.last_batch_time } else { Duration::ZERO };
+        batch_time.max(self.sent_ago(now).unwrap_or_default())
     }
 
-    /// Whether a new job can't be kept in the time that boxes wait for its answer, by how long batches take of late.
+    /// Returns whether a new job can't be persisted in the time that boxes wait for its answer, by
+    /// the recent time for a batch.
     ///
-    /// Answers a store that is slow and an owner whose batches wait for its processor: callers would give up without an answer,
-    /// and their jobs run for nobody.
+    /// This covers a slow store as well as an owner whose batches wait for processor time: callers
+    /// would give up without an answer, and their jobs would run for nobody.
     pub(super) fn keeps_too_late(&self, lag: Duration, now: Time) -> bool {
-        let on_its_way = self.sent_ago(now);
-        let takes = self.batch_takes(now);
-        let before = on_its_way.map_or(Duration::ZERO, |ago| takes.saturating_sub(ago));
-        let full_batches = self.new_jobs.len() / (LEAST_ENTRIES / ENTRIES_OF_NEW_JOB);
-        lag + before + takes * (1 + full_batches as u32) >= KEPT_WITHIN
+        let in_flight = self.sent_ago(now);
+        let batch_time = self.expected_batch_time(now);
+        let wait_for_in_flight =
+            in_flight.map_or(Duration::ZERO, |sent_ago| batch_time.saturating_sub(sent_ago));
+        let full_batches = self.new_jobs.len() / (RESERVED_ENTRIES / NEW_JOB_ENTRIES);
+        lag + wait_for_in_flight + batch_time * (1 + full_batches as u32) >= MAX_PERSIST_TIME
     }
 
-    /// Whether the store takes too long over what was sent to it.
+    /// Returns whether the store has not answered a batch for too long.
     pub(super) fn is_stuck(&self, now: Time) -> bool {
-        self.sent_ago(now).is_some_and(|ago| ago >= STUCK_AFTER)
+        self.sent_ago(now).is_some_and(|sent_ago| sent_ago >= STORE_STUCK_AFTER)
     }
 
-    /// Takes back the jobs that were not sent: they certainly are not kept.
+    /// Takes back the new jobs that were not sent, which are certainly not persisted.
     pub(super) fn take_unsent(&mut self) -> Vec<JobId> {
         let unsent = iter::from_fn(|| self.new_jobs.pop()).collect::<Vec<_>>();
         for &id in &unsent {
@@ -292,17 +308,18 @@
         unsent
     }
 
-    /// How many records wait, at most: one that is in two queues counts twice.
+    /// Returns an upper bound of the number of waiting records: one that is in two queues counts
+    /// twice.
     pub(super) fn len(&self) -> usize {
         self.new_jobs.len()
             + self.ended.len()
             + self.progress.len()
-            + self.forgotten.len()
+            + self.jobs_to_delete.len()
             + self.new_lives.len()
-            + self.lives_over.len()
+            + self.ended_workers.len()
     }
 
-    /// How many ends wait until all that they changed is kept.
+    /// Returns the number of ends whose changes are not all persisted yet.
     pub(super) fn unkept_ends(&self) -> usize {
         self.unkept_ends.len()
     }
@@ -311,16 +328,16 @@
         self.new_jobs.is_empty()
             && self.ended.is_empty()
             && self.progress.is_empty()
-            && self.forgotten.is_empty()
+            && self.jobs_to_delete.is_empty()
             && self.new_lives.is_empty()
-            && self.lives_over.is_empty()
+            && self.ended_workers.is_empty()
     }
 }
 
-/// Takes what comes first as far as there is room for it, an entry each, beside what is reserved.
-fn take_some<T: Ord + Clone>(from: &mut BTreeSet<T>, room: &mut usize, reserved: usize) -> Vec<T> {
-    let fitting = room.saturating_sub(reserved);
-    let taken = iter::from_fn(|| from.pop_first()).take(fitting).collect::<Vec<_>>();
+/// Takes the first elements as far as there is room for an entry each beside the reserved entries.
+fn take_first<T: Ord + Clone>(from: &mut BTreeSet<T>, room: &mut usize, reserved: usize) -> Vec<T> {
+    let count = room.saturating_sub(reserved);
+    let taken = iter::from_fn(|| from.pop_first()).take(count).collect::<Vec<_>>();
     *room -= taken.len();
     taken
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/place.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/place.rs
@@ -18,7 +18,7 @@
     Scheduler,
     fit::Fit,
     lateness::{Lateness, PlacementRank},
-    pass::Pass,
+    pass::PlacementPass,
     ranking::Ranking,
     room::Room,
 };
@@ -51,7 +51,7 @@
     }
 
     /// Places what of one job waits.
-    pub(super) fn place_job(&mut self, id: JobId, pass: &mut Pass) {
+    pub(super) fn place_job(&mut self, id: JobId, pass: &mut PlacementPass) {
         let (now, has_unheard) = (self.now, !self.unheard.is_empty());
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.kept) else { return };
         let lateness = Lateness::of(job, now);
@@ -68,13 +68,13 @@
             match spec.gang {
                 true => self.place_gang(step, &spec, pass),
                 false if self.place_step(step, &spec, pass) => {}
-                false => pass.note_full(spec, lateness),
+                false => pass.note_no_room(spec, lateness),
             }
         }
     }
 
     /// Places the tasks of a step. `false`: there is no room for some of them.
-    fn place_step(&mut self, step: StepName, spec: &StepSpec, pass: &mut Pass) -> bool {
+    fn place_step(&mut self, step: StepName, spec: &StepSpec, pass: &mut PlacementPass) -> bool {
         let waiting = self.waiting_tasks(step, spec);
         let Some(&first) = waiting.first() else { return true };
         let mut ranking = self.rank(first, spec, pass);
@@ -103,7 +103,7 @@
     }
 
     /// All workers that a task suits, best first.
-    fn rank(&mut self, name: TaskName, spec: &StepSpec, pass: &Pass) -> Ranking {
+    fn rank(&mut self, name: TaskName, spec: &StepSpec, pass: &PlacementPass) -> Ranking {
         self.refresh_rooms();
         // What one task should avoid, its siblings need not.
         let fit =
@@ -166,7 +166,7 @@
     }
 
     /// Places all members of a gang or none.
-    fn place_gang(&mut self, step: StepName, spec: &StepSpec, pass: &mut Pass) {
+    fn place_gang(&mut self, step: StepName, spec: &StepSpec, pass: &mut PlacementPass) {
         let members = self.jobs.get(&step.job).and_then(|job| job.step(step));
         let Some(tasks) = members.map(|members| &members.tasks) else { return };
         if !tasks.iter().all(|task| task.waits(self.now)) {
--- a/crates/kitetrail-core/src/jobs/scheduler/slowed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/slowed.rs
@@ -29,7 +29,7 @@
     /// Stops what fills and is slowed for long, if it keeps its progress and would be let work
     /// faster elsewhere.
     pub(super) fn move_slowed(&mut self, no: LifeNo) {
-        let Some(life) = self.lives.get(no).filter(|_| self.overload.moves()) else { return };
+        let Some(life) = self.lives.get(no).filter(|_| self.overload.may_move()) else { return };
         let now = self.now;
         let runs = life.runs().iter().filter(|(_, run)| is_slowed(life, run, now));
         let runs = runs.map(|(&task, run)| (task, run.run)).take(MOVES_AT_ONCE);
--- a/crates/kitetrail-core/src/jobs/scheduler/stragglers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/stragglers.rs
@@ -104,7 +104,7 @@
 
     /// Starts a copy of a run that is in trouble, or moves it, if that pays.
     fn relieve(&mut self, no: LifeNo, task: TaskName, trouble: Trouble) {
-        if !self.overload.moves() {
+        if !self.overload.may_move() {
             return;
         }
         let Some(spec) = self.step_spec(task).cloned() else { return };
