--- a/crates/kitetrail-core/src/jobs/scheduler/backlog.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/backlog.rs
@@ -47,7 +47,7 @@
 }
 
 impl Started {
-    pub(super) fn note(&mut self, kind: WorkKind, in_time: bool) {
+    pub(super) fn record(&mut self, kind: WorkKind, in_time: bool) {
         self.tasks[kind as usize].add(1, in_time);
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/fit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/fit.rs
@@ -85,12 +85,12 @@
         }
         let interference = self.interference(life, room)?;
         let fullness = match (spec.fills, spec.lasts) {
-            (true, _) => 1.0 - room.fill_share,
+            (true, _) => 1.0 - room.best_effort_share,
             // Long-running tasks are packed, so that room for large tasks is not fragmented. So are
             // short tasks of which few fit on a worker. Other short tasks are spread, so that every
             // worker keeps some capacity for best-effort tasks.
             (false, true) => room.free_share,
-            (false, false) if self.short_work.is_coarse() => room.free_share,
+            (false, false) if self.short_work.is_packed() => room.free_share,
             (false, false) => 1.0 - room.free_share,
         };
         let is_far = spec.near_rack.as_ref().is_some_and(|near| !life.entry.labels.contains(near));
--- a/crates/kitetrail-core/src/jobs/scheduler/headroom.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/headroom.rs
@@ -3,7 +3,7 @@
 use super::{
     super::{life::Life, run::RunThere},
     pace::TARGET_SHARE,
-    room::{SLIGHT_EFFECT, added, full_loads},
+    room::{NEGLIGIBLE_EFFECT, added, full_loads},
     tails::{ImageNo, TailModel},
 };
 
@@ -49,7 +49,7 @@
     pub(super) fn of(life: &Life, tails: &TailModel) -> Self {
         let serving_by_image = serving_by_image(life, tails);
         let images = serving_by_image.iter().map(|serving| serving.image).collect::<Vec<_>>();
-        let tolerance = tails.tolerance(&images, SLIGHT_EFFECT);
+        let tolerance = tails.tolerance(&images, NEGLIGIBLE_EFFECT);
         Self { task_margins: task_margins(life, tails), tolerance, serving_by_image }
     }
 
@@ -65,7 +65,7 @@
         let pace_limit = |serving: &ServingTasks| {
             let effect = tails.effect(image, serving.image);
             let spare_stress = serving.spare_stress - swing - serving.added;
-            if effect < SLIGHT_EFFECT {
+            if effect < NEGLIGIBLE_EFFECT {
                 1.0
             } else {
                 (spare_stress / (effect * load)).clamp(0.0, 1.0)
--- a/crates/kitetrail-core/src/jobs/scheduler/pace.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pace.rs
@@ -12,7 +12,7 @@
         run::{FULL_PACE_PERCENT, RunThere},
     },
     Scheduler, gauges,
-    room::{SLIGHT_EFFECT, full_loads},
+    room::{NEGLIGIBLE_EFFECT, full_loads},
     tails::{ImageNo, Load, TailModel},
 };
 use crate::Time;
@@ -103,7 +103,7 @@
     let mut shares = full_loads_by_image.iter().map(|&(image, _)| (image, 1.0)).collect::<Shares>();
     for run in life.runs().values().filter(|run| run.serves()) {
         let is_cause = |&&(best_effort_image, _): &&Load| {
-            tails.effect(best_effort_image, run.image) >= SLIGHT_EFFECT
+            tails.effect(best_effort_image, run.image) >= NEGLIGIBLE_EFFECT
         };
         let causes = full_loads_by_image.iter().filter(is_cause).copied().collect::<Vec<_>>();
         slow_to_target(tails, run, &causes, &mut shares);
--- a/crates/kitetrail-core/src/jobs/scheduler/pass.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pass.rs
@@ -8,14 +8,14 @@
     },
     Scheduler,
     lateness::Lateness,
-    room::Left,
+    room::Remaining,
 };
 
 /// A worker that takes work, and its remaining capacity when the pass began.
 #[derive(Debug)]
 struct Candidate {
     life: LifeNo,
-    left: Left,
+    left: Remaining,
 }
 
 /// The state of one placement pass over the waiting jobs.
--- a/crates/kitetrail-core/src/jobs/scheduler/place.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/place.rs
@@ -1,4 +1,4 @@
-//! Places tasks that wait on workers, in the order of their queues.
+//! Places waiting tasks on workers, in the order of their queues.
 
 use std::{iter, sync::Arc};
 
@@ -25,21 +25,21 @@
 use crate::Time;
 
 impl Scheduler {
-    /// Places all tasks that wait, in the order of their queues, as far as there is room.
+    /// Places all waiting tasks, in the order of their queues, as far as there is room.
     pub(super) fn place_all(&mut self) {
         let mut pass = self.begin_pass();
-        for id in self.jobs_that_wait() {
+        for id in self.waiting_jobs() {
             self.place_job(id, &mut pass);
         }
-        self.note_short_need(pass.short_waiting);
+        self.update_short_work_need(pass.short_waiting);
     }
 
-    /// The jobs with tasks that may wait, in the order in which they are served.
-    fn jobs_that_wait(&self) -> Vec<JobId> {
-        let overlooked = |job: &&Job| !job.may_wait && job.has_due_unplaced();
+    /// Returns the jobs that may have waiting tasks, in the order in which they are placed.
+    fn waiting_jobs(&self) -> Vec<JobId> {
+        let is_overlooked = |job: &&Job| !job.may_wait && job.has_due_unplaced();
         debug_assert!(
-            self.jobs.values().find(overlooked).is_none(),
-            "every job with a task that waits for a worker is looked at"
+            self.jobs.values().find(is_overlooked).is_none(),
+            "jobs with waiting tasks have `may_wait` set"
         );
         let key = |&(priority, due_at, id): &(u32, Time, JobId)| {
             let job = self.jobs.get(&id).filter(|job| job.may_wait)?;
@@ -50,12 +50,12 @@
         waiting.into_iter().map(|(.., id)| id).collect()
     }
 
-    /// Places what of one job waits.
+    /// Places the waiting tasks of one job.
     pub(super) fn place_job(&mut self, id: JobId, pass: &mut PlacementPass) {
-        let (now, has_unheard) = (self.now, !self.unheard.is_empty());
+        let (now, awaits_workers) = (self.now, !self.unheard.is_empty());
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.kept) else { return };
         let lateness = Lateness::of(job, now);
-        if (job.inherited && has_unheard) || pass.starts_left == 0 {
+        if (job.inherited && awaits_workers) || pass.starts_left == 0 {
             return;
         }
         for step in job.due_steps(now) {
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Places the tasks of a step. `false`: there is no room for some of them.
+    /// Places the waiting tasks of a step. Returns `false` if there is no room for some of them.
     fn place_step(&mut self, step: StepName, spec: &StepSpec, pass: &mut PlacementPass) -> bool {
         let waiting = self.waiting_tasks(step, spec);
         let Some(&first) = waiting.first() else { return true };
         let mut ranking = self.rank(first, spec, pass);
-        for (at, &name) in waiting.iter().enumerate() {
+        for (position, &name) in waiting.iter().enumerate() {
             if pass.starts_left == 0 || self.is_held_back(name, spec) {
                 return true;
             }
@@ -87,7 +87,7 @@
             };
             self.start(name, life, spec, None);
             pass.starts_left -= 1;
-            let next = waiting.get(at + 1);
+            let next = waiting.get(position + 1);
             if let Some(score) = next.and_then(|&next| self.score(next, spec, life)) {
                 ranking.put_back(life, score);
             }
@@ -95,17 +95,17 @@
         true
     }
 
-    /// The tasks of a step that wait for a worker.
+    /// Returns the tasks of a step that wait for a worker.
     fn waiting_tasks(&self, step: StepName, spec: &StepSpec) -> Vec<TaskName> {
         let Some(job) = self.jobs.get(&step.job) else { return Vec::new() };
         let names = (0..spec.count).map(|index| step.task(index));
         names.filter(|&name| job.task(name).is_some_and(|task| task.waits(self.now))).collect()
     }
 
-    /// All workers that a task suits, best first.
+    /// Ranks the workers with room for a task, best first.
     fn rank(&mut self, name: TaskName, spec: &StepSpec, pass: &PlacementPass) -> Ranking {
         self.refresh_rooms();
-        // What one task should avoid, its siblings need not.
+        // The worker that one task avoids need not be avoided by its siblings.
         let fit =
             self.fit(name, spec, &[]).map(|fit| Fit { avoid: None, runs_alone: false, ..fit });
         let Some(fit) = fit else { return Ranking::new(iter::empty()) };
@@ -113,21 +113,22 @@
         Ranking::new(pass.with_room_for(spec).filter_map(score))
     }
 
-    /// How well a worker suits a task, less is better; `None` if it does not.
+    /// Returns how well a worker suits a task, where lower is better, or `None` if it can't run it.
     fn score(&mut self, name: TaskName, spec: &StepSpec, no: LifeNo) -> Option<f64> {
         let life = self.lives.get_mut(no)?;
         if life.room.is_none() {
             life.room = Some(Room::of(life));
         }
-        self.score_known(name, spec, no)
+        self.score_up_to_date(name, spec, no)
     }
 
-    /// The same, for a worker of which it is worked out what it has left.
-    fn score_known(&self, name: TaskName, spec: &StepSpec, no: LifeNo) -> Option<f64> {
+    /// The same, for a worker whose remaining capacity is up to date.
+    fn score_up_to_date(&self, name: TaskName, spec: &StepSpec, no: LifeNo) -> Option<f64> {
         self.score_with(&self.fit(name, spec, &[])?, no, self.lives.get(no)?)
     }
 
-    /// A task that looks for a worker, beside members that are about to be placed.
+    /// Returns the placement inputs of a task, beside gang members whose workers are chosen
+    /// already.
     fn fit<'a>(
         &'a self,
         name: TaskName,
@@ -152,17 +153,17 @@
         })
     }
 
-    /// All workers that a task suits, each with how well.
-    fn scored(&self, fit: &Fit<'_>) -> impl Iterator<Item = (f64, LifeNo)> {
+    /// Returns all workers that suit a task, each with its score.
+    fn scored_workers(&self, fit: &Fit<'_>) -> impl Iterator<Item = (f64, LifeNo)> {
         let score = |no, life| self.score_with(fit, no, life).map(|score| (score, no));
         self.lives.iter().filter_map(move |(no, life)| score(no, life))
     }
 
-    /// How well a worker suits a task; `None` if it does not, or takes no work.
+    /// Returns how well a worker suits a task, or `None` if it can't run it or takes no work.
     fn score_with(&self, fit: &Fit<'_>, no: LifeNo, life: &Life) -> Option<f64> {
         let room = life.room.as_ref().filter(|room| room.left.fits(fit.spec))?;
-        let takes_it = life.takes_work(self.now) && life.entry.service == fit.service;
-        if takes_it { fit.score(no, life, room) } else { None }
+        let is_eligible = life.takes_work(self.now) && life.entry.service == fit.service;
+        if is_eligible { fit.score(no, life, room) } else { None }
     }
 
     /// Places all members of a gang or none.
@@ -187,21 +188,21 @@
             let name = step.task(index);
             if let Some(task) = self.task_mut(name) {
                 task.checkpoint.clone_from(&checkpoint);
-                // They wait for each other, so they leave together.
+                // Members wait for each other, so their starts are sent together.
                 task.watched = watched;
             }
             self.start(name, life, spec, Some(run));
         }
     }
 
-    /// Works out anew what workers have left where something changed.
+    /// Recomputes the remaining capacity of the workers on which something changed.
     pub(super) fn refresh_rooms(&mut self) {
         for life in self.lives.values_mut().filter(|life| life.room.is_none()) {
             life.room = Some(Room::of(life));
         }
     }
 
-    /// The best worker for a task, beside members that are about to be placed.
+    /// Returns the best worker for a task, beside gang members whose workers are chosen already.
     pub(super) fn choose(
         &mut self,
         name: TaskName,
@@ -210,10 +211,10 @@
     ) -> Option<LifeNo> {
         self.refresh_rooms();
         let fit = self.fit(name, spec, members)?;
-        self.scored(&fit).min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, no)| no)
+        self.scored_workers(&fit).min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, no)| no)
     }
 
-    /// Gives a task to a worker, as the given run or the task's next one.
+    /// Assigns a task to a worker, as the given run or as the task's next one.
     pub(super) fn start(&mut self, name: TaskName, no: LifeNo, spec: &StepSpec, run: Option<u32>) {
         let Some(job) = self.jobs.get_mut(&name.job) else { return };
         let payload = Arc::clone(&job.payload);
@@ -223,13 +224,13 @@
         let run = run.unwrap_or(task.last_run + 1);
         task.last_run = run;
         let suspected = !task.crashes.workers.is_empty();
-        let alone = task.crashes.runs_alone();
+        let runs_alone = task.crashes.runs_alone();
         task.note_start(self.inherited_crashed);
-        let keep_first = task.watched;
-        task.crashes.begun = keep_first.then(|| BegunRun::new(run, life.entry.key()));
+        let persist_first = task.watched;
+        task.crashes.begun = persist_first.then(|| BegunRun::new(run, life.entry.key()));
         task.placed.push(Placement { life: no, run });
         let checkpoint = task.checkpoint.clone().filter(|_| spec.keeps_progress);
-        self.started.note(spec.kind(), job.can_be_in_time(self.now));
+        self.started.record(spec.kind(), job.can_be_in_time(self.now));
         self.out.push(Action::Note(Note::Placed {
             task: name,
             run,
@@ -238,13 +239,13 @@
             heard_ago_ms: life.heard_ago_ms(self.now),
         }));
         if !spec.fills && !spec.lasts {
-            self.short_work.note_size(spec.size.cpu_millis.0);
+            self.short_work.record_size(spec.size.cpu_millis.0);
         }
-        let phase = if keep_first { Phase::Unkept } else { Phase::Ordered };
-        let there = RunThere::new(run, spec, image, self.now);
-        life.insert_run(name, RunThere { phase, suspected, alone, ..there });
+        let phase = if persist_first { Phase::Unkept } else { Phase::Ordered };
+        let new_run = RunThere::new(run, spec, image, self.now);
+        life.insert_run(name, RunThere { phase, suspected, alone: runs_alone, ..new_run });
         let order = StartOrder { task: name, run, payload, checkpoint, ticket: None };
-        match keep_first {
+        match persist_first {
             true => self.order_once_kept(no, order),
             false => self.order(no, Order::Start(order)),
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/ranking.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/ranking.rs
@@ -1,4 +1,4 @@
-//! Workers in the order in which they suit the tasks of one step.
+//! Workers ranked by how well they suit the tasks of one step.
 
 use std::{
     cmp::{Ordering, Reverse},
@@ -7,7 +7,7 @@
 
 use super::super::life::LifeNo;
 
-/// A worker and how well it suits, less is better.
+/// A worker and its score, where lower is better.
 #[derive(Debug, Clone, Copy)]
 struct Ranked {
     score: f64,
@@ -34,10 +34,11 @@
     }
 }
 
-/// Workers in the order in which they suit the tasks of one step.
+/// Workers ranked by how well they suit the tasks of one step.
 ///
-/// All are scored once. What is placed on a worker changes the score of that one alone, so that it is
-/// scored anew and takes its new place: a step of k tasks over n workers costs n + k scores, not k * n.
+/// All workers are scored once. Placing a task on a worker changes only the score of that worker,
+/// which is then scored again and inserted anew: a step of k tasks over n workers costs n + k
+/// scores, not k * n.
 #[derive(Debug)]
 pub(super) struct Ranking {
     heap: BinaryHeap<Reverse<Ranked>>,
@@ -49,15 +50,15 @@
         Self { heap: ranked.collect() }
     }
 
-    /// The best worker, which leaves the ranking.
+    /// Removes and returns the best worker.
     ///
-    /// `rescore` scores a worker for the task at hand: one that suits it less than it did takes its new
-    /// place, one that does not suit it at all is passed over.
+    /// `rescore` scores a worker for the task at hand: a worker with a worse score than before is
+    /// inserted anew, and one that can't run the task is skipped.
     pub(super) fn take_best(
         &mut self,
         mut rescore: impl FnMut(LifeNo) -> Option<f64>,
     ) -> Option<LifeNo> {
-        let mut passed_over = Vec::new();
+        let mut skipped = Vec::new();
         let mut best_life = None;
         while let Some(Reverse(best)) = self.heap.pop() {
             match rescore(best.life) {
@@ -66,15 +67,15 @@
                     break;
                 }
                 Some(score) => self.heap.push(Reverse(Ranked { score, ..best })),
-                None => passed_over.push(Reverse(best)),
+                None => skipped.push(Reverse(best)),
             }
         }
-        // It may suit the next task: one of this task's runs may be there still.
-        self.heap.extend(passed_over);
+        // A skipped worker may suit the next task: it may still have run this one.
+        self.heap.extend(skipped);
         best_life
     }
 
-    /// Takes a worker in again after something was placed there.
+    /// Inserts a worker again after a task was placed on it.
     pub(super) fn put_back(&mut self, life: LifeNo, score: f64) {
         self.heap.push(Reverse(Ranked { score, life }));
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/short_work.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/short_work.rs
@@ -1,4 +1,4 @@
-//! Room that is kept for short work beside tasks that last.
+//! Keeps room for short tasks beside long-running ones.
 
 use std::time::Duration;
 
@@ -9,119 +9,120 @@
 };
 use crate::Time;
 
-/// Over how long the need of short work is averaged: some times as long as a task takes.
-const AVERAGED_OVER: Duration = Duration::from_millis(4_000);
-/// Room is kept for so many times the average need: arrivals are uneven.
-const ROOM_OF_NEED: f64 = 1.3;
-/// Below this average need no room is kept: short work is over.
-const LEAST_NEED: f64 = 0.5;
-/// How much a task counts when the usual size of short tasks is worked out, 0 to 1.
+/// The time constant of the average need of short tasks: several times the duration of a task.
+const AVERAGING_TIME: Duration = Duration::from_millis(4_000);
+/// The multiple of the average need for which room is kept, because arrivals are uneven.
+const RESERVE_FACTOR: f64 = 1.3;
+/// The average need below which no room is kept, because there are no more short tasks.
+const MIN_NEED: f64 = 0.5;
+/// The weight of a new task in the typical size of short tasks, 0 to 1.
 const SIZE_WEIGHT: f64 = 0.05;
-/// Short work is packed where fewer than so many of its usual tasks fit on an empty worker, and spread
-/// elsewhere. Answers a load of short tasks that take a large part of a worker, beside tasks that last: spread,
-/// they leave no gap for the larger ones.
-const COARSE_BELOW: f64 = 4.0;
-/// The longest time that a task that lasts is held back beside room for two of its size. The
-/// platform counts it as lost after 3 s.
-const HELD_BACK_MOST: Duration = Duration::from_millis(2_000);
+/// The number of typical short tasks that must fit on an empty worker for short tasks to be spread;
+/// otherwise they are packed. This covers short tasks that take a large part of a worker, beside
+/// long-running ones: if spread, they leave no gap for larger tasks.
+const MIN_TASKS_TO_SPREAD: f64 = 4.0;
+/// The longest time for which a long-running task is held back while there is room for two of its
+/// size. The platform counts it as lost after 3 s.
+const MAX_HOLD_BACK: Duration = Duration::from_millis(2_000);
 
-/// What short work was seen to need: tasks that end by themselves and reserve processors.
+/// The observed need of short tasks: those that end by themselves and reserve processor time.
 #[derive(Debug, Default)]
 pub(super) struct ShortWork {
-    /// The usual processor time of a task, in thousandths of a core; 0 before any was seen.
-    usual_millis: f64,
-    /// How many tasks run or wait, on average.
-    tasks: f64,
-    /// How many tasks waited when that was looked at last.
+    /// The typical processor time of a task, in thousandths of a core; 0 before any was observed.
+    typical_millis: f64,
+    /// The average number of running and waiting tasks.
+    average_tasks: f64,
+    /// The number of waiting tasks in the last pass.
     waiting: u32,
-    /// The processor time of a worker, on average, in thousandths of a core.
+    /// The average processor time of a worker, in thousandths of a core.
     capacity_millis: f64,
-    /// When the average was last brought up to date.
+    /// When the average was last updated.
     averaged_at: Time,
 }
 
 impl ShortWork {
-    /// Takes note of the size of a task that starts.
-    pub(super) fn note_size(&mut self, cpu_millis: u32) {
+    /// Records the size of a task that starts.
+    pub(super) fn record_size(&mut self, cpu_millis: u32) {
         let size = f64::from(cpu_millis);
-        let weight = if self.usual_millis == 0.0 { 1.0 } else { SIZE_WEIGHT };
-        self.usual_millis += weight * (size - self.usual_millis);
+        let weight = if self.typical_millis == 0.0 { 1.0 } else { SIZE_WEIGHT };
+        self.typical_millis += weight * (size - self.typical_millis);
     }
 
-    /// Takes note of how many tasks run or wait.
-    fn note_need(&mut self, tasks: u32, now: Time) {
+    /// Updates the average with the number of running and waiting tasks.
+    fn update_need(&mut self, tasks: u32, now: Time) {
         let gap_s = now.since(self.averaged_at).as_secs_f64();
         self.averaged_at = now;
-        let kept = (-gap_s / AVERAGED_OVER.as_secs_f64()).exp();
-        self.tasks = kept * self.tasks + (1.0 - kept) * f64::from(tasks);
+        let decay = (-gap_s / AVERAGING_TIME.as_secs_f64()).exp();
+        self.average_tasks = decay * self.average_tasks + (1.0 - decay) * f64::from(tasks);
     }
 
-    /// Whether some waited when that was looked at last.
+    /// Returns whether short tasks waited in the last pass.
     pub(super) fn waits(&self) -> bool {
         self.waiting > 0
     }
 
-    /// Whether few tasks of the usual size fit on an empty worker.
-    pub(super) fn is_coarse(&self) -> bool {
-        self.capacity_millis < COARSE_BELOW * self.usual_millis
+    /// Returns whether so few typical tasks fit on an empty worker that short tasks are packed.
+    pub(super) fn is_packed(&self) -> bool {
+        self.capacity_millis < MIN_TASKS_TO_SPREAD * self.typical_millis
     }
 
-    /// How many tasks of the usual size fit in so much free processor time.
+    /// Returns how many typical tasks fit in `free_millis` of processor time.
     pub(super) fn slots_in(&self, free_millis: u32) -> u32 {
-        match self.usual_millis {
+        match self.typical_millis {
             0.0 => 0,
-            usual_millis => (f64::from(free_millis) / usual_millis) as u32,
+            typical_millis => (f64::from(free_millis) / typical_millis) as u32,
         }
     }
 }
 
 impl Scheduler {
-    /// Brings up to date what short work needs, after all tasks that wait were looked at.
-    pub(super) fn note_short_need(&mut self, waiting: u32) {
+    /// Updates the need of short tasks after a placement pass.
+    pub(super) fn update_short_work_need(&mut self, waiting: u32) {
         self.refresh_rooms();
-        let (mut running, mut millis) = (0, 0.0);
+        let (mut running, mut total_millis) = (0, 0.0);
         for life in self.lives.values() {
             running += life.room.as_ref().map_or(0, |room| room.short_tasks);
-            millis += capacity_millis(life);
+            total_millis += capacity_millis(life);
         }
-        self.short_work.note_need(running + waiting, self.now);
+        self.short_work.update_need(running + waiting, self.now);
         self.short_work.waiting = waiting;
-        self.short_work.capacity_millis = millis / self.lives.len().max(1) as f64;
+        self.short_work.capacity_millis = total_millis / self.lives.len().max(1) as f64;
     }
 
-    /// Whether a task that lasts and never ran waits so that short work finds room.
+    /// Returns whether a long-running task that never ran waits so that short tasks find room.
     ///
-    /// What lasts stays for minutes. Where it takes all room, short work waits for a gap that is too
-    /// small for what lasts. A task that ran before is not held back.
+    /// Long-running tasks occupy their room for minutes. If they take all room, short tasks wait
+    /// for a gap that is too small for a long-running one. A task that ran before is not held back.
     pub(super) fn is_held_back(&mut self, name: TaskName, spec: &StepSpec) -> bool {
         let Some(job) = self.jobs.get(&name.job) else { return false };
         let is_new = job.task(name).is_some_and(|task| task.last_run == 0);
-        if !spec.lasts || !is_new || self.short_work.tasks < LEAST_NEED {
+        if !spec.lasts || !is_new || self.short_work.average_tasks < MIN_NEED {
             return false;
         }
         let accepted_at = job.accepted_at;
         let (is_scarce, places) = self.scarcity_and_places(spec.size.cpu_millis.0);
-        let would_count_as_lost = places >= 2 && self.now.since(accepted_at) >= HELD_BACK_MOST;
+        let would_count_as_lost = places >= 2 && self.now.since(accepted_at) >= MAX_HOLD_BACK;
         is_scarce && !would_count_as_lost
     }
 
-    /// Whether a task that lasts would take room that short work was seen to need, wherever it went.
+    /// Returns whether a long-running task would take room that short tasks need, wherever it were
+    /// placed.
     pub(super) fn takes_room_of_short_work(&mut self, spec: &StepSpec) -> bool {
-        let matters = spec.lasts && self.short_work.tasks >= LEAST_NEED;
-        matters && self.scarcity_and_places(spec.size.cpu_millis.0).0
+        let is_relevant = spec.lasts && self.short_work.average_tasks >= MIN_NEED;
+        is_relevant && self.scarcity_and_places(spec.size.cpu_millis.0).0
     }
 
-    /// Whether room for short work is scarce once a task of a given size has found a place, and how
-    /// many such tasks find one.
+    /// Returns whether room for short tasks would be scarce once a task of the given size is
+    /// placed, and how many such tasks find room.
     fn scarcity_and_places(&mut self, cpu_millis: u32) -> (bool, u32) {
         let (slots, places) = self.short_slots_and_places(cpu_millis);
-        let taken = self.short_work.slots_in(cpu_millis);
-        let left = f64::from(slots) - f64::from(taken);
-        (left < ROOM_OF_NEED * self.short_work.tasks, places)
+        let taken_slots = self.short_work.slots_in(cpu_millis);
+        let remaining_slots = f64::from(slots) - f64::from(taken_slots);
+        (remaining_slots < RESERVE_FACTOR * self.short_work.average_tasks, places)
     }
 
-    /// How many short tasks the fleet has room for, those that run included, and how many tasks of a
-    /// given size find a place.
+    /// Returns how many short tasks the fleet has room for, including the running ones, and how
+    /// many tasks of the given size find room.
     fn short_slots_and_places(&mut self, cpu_millis: u32) -> (u32, u32) {
         self.refresh_rooms();
         let (mut slots, mut places) = (0, 0);
--- a/crates/kitetrail-core/src/jobs/scheduler/shrunk.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/shrunk.rs
@@ -1,17 +1,18 @@
-//! Workers whose room shrinks while they run: starts that were placed by the old room and have not left are taken back.
+//! Takes back unsent starts from workers whose capacity shrinks while they run.
 //!
-//! Answers machines that lose processors or memory for a while. A worker that does not guard its room would be brought over
-//! it; one that does refuses the start, a round trip later. What runs already stays: it ends by itself, and a stop would
-//! throw its work away.
+//! Machines may lose processors or memory for a while. A worker that does not enforce its capacity
+//! would be overcommitted by starts placed before; one that does refuses them a round trip later.
+//! Tasks already running stay: they end by themselves, and stopping them would waste their work.
 
 use super::{
     super::{life::LifeNo, names::TaskName, order::Order, run::Phase},
     Scheduler,
-    room::is_over_room,
+    room::is_overcommitted,
 };
 
 impl Scheduler {
-    /// Takes back starts that have not left, the last ones first, until what is left fits into a worker's room.
+    /// Takes back unsent starts, the last ones first, until the rest fits into the worker's
+    /// capacity.
     pub(super) fn take_back_unfit(&mut self, no: LifeNo) {
         while let Some((task, run)) = self.last_unfit_start(no) {
             if let Some(life) = self.lives.get_mut(no) {
@@ -24,18 +25,18 @@
         }
     }
 
-    /// The last start that has not left for a worker which has too little room.
+    /// Returns the last unsent start for a worker that is overcommitted.
     fn last_unfit_start(&self, no: LifeNo) -> Option<(TaskName, u32)> {
-        let life = self.lives.get(no).filter(|life| is_over_room(life))?;
-        let waiting = life.orders.iter().rev().find_map(|order| match order {
+        let life = self.lives.get(no).filter(|life| is_overcommitted(life))?;
+        let unsent = life.orders.iter().rev().find_map(|order| match order {
             Order::Start(start) => Some((start.task, start.run)),
             Order::Stop { .. } | Order::Pace { .. } => None,
         });
-        let unkept = || life.runs().iter().find(|(_, run)| run.phase == Phase::Unkept);
-        waiting.or_else(|| unkept().map(|(&task, run)| (task, run.run)))
+        let unpersisted = || life.runs().iter().find(|(_, run)| run.phase == Phase::Unkept);
+        unsent.or_else(|| unpersisted().map(|(&task, run)| (task, run.run)))
     }
 
-    /// Stops the other members of a gang that has lost one: they would wait for it.
+    /// Stops the other members of a gang that has lost one, since they would wait for it.
     fn stop_gang(&mut self, lost: TaskName, run: u32) {
         if !self.step_spec(lost).is_some_and(|spec| spec.gang) {
             return;
--- a/crates/kitetrail-core/src/jobs/scheduler/stragglers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/stragglers.rs
@@ -1,4 +1,5 @@
-//! Runs that stand still or are much slower than others of their step, and what is done about them.
+//! Detects runs that are stalled or much slower than others of their step, and copies or moves
+//! them.
 
 use std::time::Duration;
 
@@ -13,97 +14,105 @@
 };
 use crate::Time;
 
-/// A run whose percent has not risen for so long stands still. Runs take a second or two, and
+/// The time without progress after which a run counts as stalled. Runs take a second or two, and
 /// reports are up to 1.5 s apart.
-const STANDS_STILL_AFTER: Duration = Duration::from_millis(1_300);
-/// Paced below this, in percent, a run that fills may seem to stand still.
-const PACED_LOW_PERCENT: u8 = 40;
-/// So many runs that stand still on one worker, with none that moves, tell that the worker hangs.
-const STILL_RUNS_OF_A_HANG: usize = 2;
-/// A run is slow if it will take so many times as long as others of its step.
+const STALLED_AFTER: Duration = Duration::from_millis(1_300);
+/// The pace in percent below which a best-effort run may seem stalled.
+const LOW_PACE_PERCENT: u8 = 40;
+/// The number of stalled runs on one worker, with none that progresses, from which the worker
+/// counts as hung.
+const HUNG_WORKER_STALLED_RUNS: usize = 2;
+/// A run is slow only if it is predicted to take this many times as long as others of its step.
 const SLOW_FACTOR: f64 = 2.0;
-/// And if what is left of it is longer than a whole other run, times this: starting anew must pay.
-const WORTH_STARTING_ANEW: f64 = 1.2;
-/// And if it runs for so many times as long already: predictions from few percent are rough.
+/// A run is slow only if the time it has left exceeds the duration of a whole other run by this
+/// factor, so that a restart pays off.
+const RESTART_FACTOR: f64 = 1.2;
+/// A run is slow only if it has already run for this many times as long as others, since
+/// predictions from little progress are inaccurate.
 const OVERDUE_FACTOR: f64 = 1.4;
-/// So many tasks of the step must be done, and half of them, before others are called slow.
-const LEAST_TIMED: u32 = 2;
-/// A task that was slow on so many workers is long, whoever runs it: to move it again would throw its work away for ever.
-const MOST_SLOW_MOVES: u32 = 2;
-/// Progress below this many percentage points tells too little of a run's speed.
-const LEAST_PROGRESS: u32 = 4;
+/// The least number of completed tasks of a step, which must also be half of all, before others
+/// count as slow.
+const MIN_TIMED_TASKS: u32 = 2;
+/// The number of workers on which a task was slow after which it is no longer moved: it takes long
+/// on any worker, and another move would only waste its work.
+const MAX_SLOW_MOVES: u32 = 2;
+/// The least progress from which the speed of a run can be predicted, in percentage points.
+const MIN_PROGRESS: u32 = 4;
 
 /// What is wrong with a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Trouble {
-    StandsStill,
+enum Problem {
+    Stalled,
     Slow,
 }
 
-/// The runs of a worker whose progress can be told, after a report.
+/// The runs of a worker whose progress is meaningful, after a report.
 #[derive(Debug, Default)]
-struct Measured {
-    /// Those that stand still.
-    still: Vec<TaskName>,
-    /// All others.
-    rest: Vec<TaskName>,
-    /// How many of them made progress since the report before.
-    moving: usize,
+struct ProgressCheck {
+    /// The stalled runs.
+    stalled: Vec<TaskName>,
+    /// All other runs.
+    others: Vec<TaskName>,
+    /// The number of runs that progressed since the last report.
+    progressing: usize,
 }
 
 impl Scheduler {
-    /// Looks at the progress of all runs of a worker after a report.
+    /// Checks the progress of all runs of a worker after a report.
     pub(super) fn check_progress(&mut self, no: LifeNo) {
         let now = self.now;
         let Some(life) = self.lives.get_mut(no) else { return };
-        let Measured { still, rest, moving } = measure(life, now);
-        if still.len() >= STILL_RUNS_OF_A_HANG && moving == 0 {
+        let ProgressCheck { stalled, others, progressing } = measure_progress(life, now);
+        if stalled.len() >= HUNG_WORKER_STALLED_RUNS && progressing == 0 {
             self.set_aside_hanging(no);
         }
-        for task in still {
-            self.relieve(no, task, Trouble::StandsStill);
+        for task in stalled {
+            self.copy_or_move(no, task, Problem::Stalled);
         }
-        for task in rest {
+        for task in others {
             if self.is_slow(no, task) {
-                self.relieve(no, task, Trouble::Slow);
+                self.copy_or_move(no, task, Problem::Slow);
             }
         }
     }
 
-    /// Starts copies of what may have copies and runs on a worker that has fallen silent.
+    /// Starts copies of the runs on a silent worker that may be copied.
     pub(super) fn copy_from_silent(&mut self, no: LifeNo) {
         let Some(life) = self.lives.get(no) else { return };
         for task in life.runs().keys().copied().collect::<Vec<_>>() {
             if self.step_spec(task).is_some_and(|step| step.copies_allowed) {
-                self.copy(no, task);
+                self.start_copy(no, task);
             }
         }
     }
 
-    /// Whether the run will take much longer than others of its step, and than starting anew.
+    /// Returns whether a run will take much longer than others of its step, and longer than a
+    /// restart.
     fn is_slow(&self, no: LifeNo, task: TaskName) -> bool {
         let run = self.lives.get(no).and_then(|life| life.runs().get(&task));
         let expected_ms = self.expected_ms(task);
         let (Some(run), Some(expected_ms)) = (run, expected_ms) else { return false };
-        let Some(total_ms) = predicted_ms(run, self.now) else { return false };
+        let Some(total_ms) = predicted_total_ms(run, self.now) else { return false };
         let elapsed_ms = elapsed_ms(run, self.now).unwrap_or(0.0);
         let left_ms = left_ms(run, self.now).unwrap_or(0.0);
         elapsed_ms > expected_ms * OVERDUE_FACTOR
             && total_ms > expected_ms * SLOW_FACTOR
-            && left_ms > expected_ms * WORTH_STARTING_ANEW
+            && left_ms > expected_ms * RESTART_FACTOR
     }
 
-    /// How long a task of the step takes, by those that are done, in milliseconds.
+    /// Returns the expected duration of a task, averaged over the completed ones of its step, in
+    /// milliseconds.
     fn expected_ms(&self, task: TaskName) -> Option<f64> {
         let job = self.jobs.get(&task.job)?;
         let step = job.step(task.step_name())?;
-        // The first ones to end are the shortest ones.
-        let enough = step.timed >= LEAST_TIMED && step.timed as usize * 2 >= step.tasks.len();
-        enough.then(|| step.timed_ms as f64 / f64::from(step.timed))
+        // The first tasks to end are the shortest.
+        let is_representative =
+            step.timed >= MIN_TIMED_TASKS && step.timed as usize * 2 >= step.tasks.len();
+        is_representative.then(|| step.timed_ms as f64 / f64::from(step.timed))
     }
 
-    /// Starts a copy of a run that is in trouble, or moves it, if that pays.
-    fn relieve(&mut self, no: LifeNo, task: TaskName, trouble: Trouble) {
+    /// Starts a copy of a stalled or slow run, or moves it, if that pays off.
+    fn copy_or_move(&mut self, no: LifeNo, task: TaskName, problem: Problem) {
         if !self.overload.may_move() {
             return;
         }
@@ -112,32 +121,33 @@
             return;
         }
         if spec.copies_allowed {
-            return self.copy(no, task);
+            return self.start_copy(no, task);
         }
-        // A paced run is slow by our own doing.
-        if spec.fills && trouble == Trouble::Slow {
+        // A paced run is slow because the scheduler slowed it.
+        if spec.fills && problem == Problem::Slow {
             return;
         }
-        let is_long = |task: &mut Task| task.slow_moves >= MOST_SLOW_MOVES;
-        if trouble == Trouble::Slow && self.task_mut(task).is_some_and(is_long) {
+        let was_moved_enough = |task: &mut Task| task.slow_moves >= MAX_SLOW_MOVES;
+        if problem == Problem::Slow && self.task_mut(task).is_some_and(was_moved_enough) {
             return;
         }
-        let other = self.choose(task, &spec, &[]).filter(|&other| other != no);
+        let other_worker = self.choose(task, &spec, &[]).filter(|&other_worker| other_worker != no);
         let run = self.lives.get(no).and_then(|life| life.runs().get(&task)).map(|run| run.run);
-        let (Some(_), Some(run)) = (other, run) else { return };
+        let (Some(_), Some(run)) = (other_worker, run) else { return };
         self.avoid(task, no);
-        let why = match trouble {
-            Trouble::StandsStill => "moved: it stands still",
-            Trouble::Slow => "moved: it is slow",
+        let why = match problem {
+            Problem::Stalled => "moved: it makes no progress",
+            Problem::Slow => "moved: it is slower than other tasks of its step",
         };
-        if let Some(task) = self.task_mut(task).filter(|_| trouble == Trouble::Slow) {
+        if let Some(task) = self.task_mut(task).filter(|_| problem == Problem::Slow) {
             task.slow_moves += 1;
         }
         self.move_run(no, task, run, why);
     }
 
-    /// Starts a second run of a task beside the one there is; not of one that may crash its worker, which would cost two.
-    fn copy(&mut self, no: LifeNo, name: TaskName) {
+    /// Starts a second run of a task beside its only run. A task that may crash its worker is not
+    /// copied, since that could cost two workers.
+    fn start_copy(&mut self, no: LifeNo, name: TaskName) {
         let Some(spec) = self.step_spec(name).cloned() else { return };
         let Some(job) = self.jobs.get(&name.job).filter(|job| job.is_open()) else { return };
         let task = job.task(name);
@@ -145,46 +155,48 @@
             return;
         }
         self.avoid(name, no);
-        if let Some(other) = self.choose(name, &spec, &[]).filter(|&other| other != no) {
-            self.start(name, other, &spec, None);
+        if let Some(other_worker) =
+            self.choose(name, &spec, &[]).filter(|&other_worker| other_worker != no)
+        {
+            self.start(name, other_worker, &spec, None);
         }
     }
 }
 
-fn measure(life: &mut Life, now: Time) -> Measured {
-    let mut measured = Measured::default();
-    for (task, run) in life.runs_mut().filter(|(_, run)| is_measured(run)) {
+fn measure_progress(life: &mut Life, now: Time) -> ProgressCheck {
+    let mut check = ProgressCheck::default();
+    for (task, run) in life.runs_mut().filter(|(_, run)| has_meaningful_percent(run)) {
         if run.percent > run.progress.percent {
             run.progress.percent = run.percent;
             run.progress.rose_at = now;
         }
-        match now.since(run.progress.rose_at) >= STANDS_STILL_AFTER {
-            true => measured.still.push(task),
+        match now.since(run.progress.rose_at) >= STALLED_AFTER {
+            true => check.stalled.push(task),
             false => {
-                measured.moving += usize::from(run.progress.rose_at == now);
-                measured.rest.push(task);
+                check.progressing += usize::from(run.progress.rose_at == now);
+                check.others.push(task);
             }
         }
     }
-    measured
+    check
 }
 
-/// Whether the percent of a run tells how much of its work is done.
-fn is_measured(run: &RunThere) -> bool {
-    let paced = run.fills && run.paced_percent < PACED_LOW_PERCENT;
-    run.is_running() && !run.stopping && !run.lasts && !paced
+/// Returns whether the reported percent of a run tells how much of its work is done.
+fn has_meaningful_percent(run: &RunThere) -> bool {
+    let is_slowed_down = run.fills && run.paced_percent < LOW_PACE_PERCENT;
+    run.is_running() && !run.stopping && !run.lasts && !is_slowed_down
 }
 
-/// How long a run takes as a whole at its present speed, in milliseconds.
-fn predicted_ms(run: &RunThere, now: Time) -> Option<f64> {
+/// Returns the predicted duration of a run at its present speed, in milliseconds.
+fn predicted_total_ms(run: &RunThere, now: Time) -> Option<f64> {
     let elapsed_ms = elapsed_ms(run, now)?;
-    let done = run.percent.saturating_sub(run.progress.from_percent);
-    (done >= LEAST_PROGRESS).then(|| elapsed_ms * 100.0 / f64::from(done))
+    let gained_percent = run.percent.saturating_sub(run.progress.from_percent);
+    (gained_percent >= MIN_PROGRESS).then(|| elapsed_ms * 100.0 / f64::from(gained_percent))
 }
 
-/// How long a run goes on at its present speed, in milliseconds.
+/// Returns how long a run will still take at its present speed, in milliseconds.
 pub(super) fn left_ms(run: &RunThere, now: Time) -> Option<f64> {
-    let total_ms = predicted_ms(run, now)?;
+    let total_ms = predicted_total_ms(run, now)?;
     Some(total_ms * f64::from(100 - run.percent.min(100)) / 100.0)
 }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/tails.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/tails.rs
@@ -1,10 +1,11 @@
-//! What of the tail of a serving task's answers is its own load, and what the tasks that fill
-//! beside it add.
+//! Models the tail latency of serving tasks, as the effect of their own load and of the best-effort
+//! tasks beside them.
 //!
-//! A tail grows like that of a queue: it is the task's lowest tail over the share of time that is
-//! left. The *stress* of a task is the share that is taken. Stress adds up: the task's own load,
-//! which swings within seconds, and for each image that fills there the processor time it uses
-//! times an effect that holds for the pair of images. Both are learned from each report.
+//! A tail latency grows like that of a queue: it is the lowest tail latency of the task divided by
+//! the idle share of time. The *stress* of a task is the busy share. Stress is additive: one part
+//! is the task's own load, which varies within seconds; each best-effort image on the worker adds
+//! the processor time that it uses times an effect, which is constant for a pair of images. Both
+//! the own load and the effects are learned from each report.
 
 use std::collections::HashMap;
 
@@ -14,50 +15,51 @@
 };
 use crate::Time;
 
-/// The lowest tail of an image, as a share of its target, before any was seen.
+/// The lowest tail latency of an image before any was reported, as a share of its target.
 const LOWEST_TAIL_PRIOR: f64 = 0.25;
-/// A queue's tail with no load at all, as a share of the lowest one seen: services are never idle.
-const UNLOADED_OF_LOWEST: f64 = 0.8;
-/// Of how many images that serve the effects are kept: bounds the record's size.
-const MOST_KEPT: usize = 64;
+/// The tail latency of an idle queue, as a share of the lowest one reported: services are never
+/// idle.
+const UNLOADED_TAIL_SHARE: f64 = 0.8;
+/// The most serving images whose effects are exported, to bound the size of the record.
+const MAX_EXPORTED_IMAGES: usize = 64;
 
-/// The number of an image in one scheduler.
+/// The number of an image within one scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(in crate::jobs) struct ImageNo(u32);
 
 impl ImageNo {
-    /// Where it stands in a list of all images.
+    /// Returns the index of the image in a list of all images.
     pub(super) fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// How much processor time the tasks of an image use on a worker, as a share of all it has.
+/// An image, and the processor time that its tasks use on a worker as a share of its capacity.
 pub(super) type Load = (ImageNo, f64);
 
-/// A reported tail of a serving task.
+/// A reported tail latency of a serving task.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Tail {
     pub(super) tail_ms: f64,
     pub(super) target_ms: f64,
-    /// Since the report before, in seconds.
+    /// The time since the last report, in seconds.
     pub(super) gap_s: f64,
-    /// When it was heard.
+    /// When the report arrived.
     pub(super) at: Time,
 }
 
-/// What is known of all pairs of images.
+/// The learned state of all pairs of images.
 #[derive(Debug, Default)]
 pub(super) struct TailModel {
     numbers: HashMap<String, ImageNo>,
-    /// By the number of the image that serves.
+    /// The filter of each serving image, by its number.
     images: Vec<ServingImage>,
-    /// Images that were seen to fill.
-    fillers: Vec<ImageNo>,
+    /// The best-effort images observed so far.
+    best_effort_images: Vec<ImageNo>,
 }
 
 impl TailModel {
-    /// The number of an image; an empty name stands for all that name none.
+    /// Returns the number of an image. All tasks without an image share the empty name.
     pub(super) fn number(&mut self, image: Option<&str>) -> ImageNo {
         let name = image.unwrap_or("");
         if let Some(&number) = self.numbers.get(name) {
@@ -69,7 +71,7 @@
         number
     }
 
-    /// What is known, to be kept.
+    /// Returns the learned effects, to be persisted.
     pub(super) fn export(&self) -> EffectsRecord {
         let names = self.numbers.iter().map(|(name, number)| (*number, name.as_str()));
         let names = names.collect::<HashMap<_, _>>();
@@ -80,78 +82,86 @@
                 lowest_tail_ms: image.lowest_ms?,
                 effects: image
                     .known_effects()
-                    .map(|(fills, effect)| (name(fills), effect))
+                    .map(|(best_effort_image, effect)| (name(best_effort_image), effect))
                     .collect(),
             })
         });
-        EffectsRecord { serving: serving.take(MOST_KEPT).collect() }
+        EffectsRecord { serving: serving.take(MAX_EXPORTED_IMAGES).collect() }
     }
 
-    /// Takes over what an earlier owner knew.
+    /// Takes over the effects that an earlier owner learned.
     pub(super) fn import(&mut self, record: &EffectsRecord) {
         for serving in &record.serving {
-            let serves = self.number(Some(&serving.image));
-            for (fills, effect) in &serving.effects {
-                let fills = self.number(Some(fills));
-                self.note_filler(fills);
-                let Some(image) = self.images.get_mut(serves.index()) else { continue };
+            let serving_image = self.number(Some(&serving.image));
+            for (best_effort_image, effect) in &serving.effects {
+                let best_effort_image = self.number(Some(best_effort_image));
+                self.note_best_effort_image(best_effort_image);
+                let Some(image) = self.images.get_mut(serving_image.index()) else { continue };
                 image.lowest_ms = Some(serving.lowest_tail_ms);
-                image.import(fills, *effect);
+                image.import(best_effort_image, *effect);
             }
         }
     }
 
-    /// How much stress an image that fills adds to one that serves, when it uses all processors.
-    pub(super) fn effect(&self, fills: ImageNo, serves: ImageNo) -> f64 {
-        let known = self.images.get(serves.index()).and_then(|image| image.effect(fills));
-        known.unwrap_or(EFFECT_PRIOR)
+    /// Returns how much stress a best-effort image adds to a serving image when it uses all
+    /// processors.
+    pub(super) fn effect(&self, best_effort_image: ImageNo, serving_image: ImageNo) -> f64 {
+        let known_effect = self
+            .images
+            .get(serving_image.index())
+            .and_then(|image| image.effect(best_effort_image));
+        known_effect.unwrap_or(EFFECT_PRIOR)
     }
 
-    /// The share of the images that fill whose effect on all of the given ones is below `slight`.
-    pub(super) fn tolerance(&self, serving: &[ImageNo], slight: f64) -> f64 {
-        let disturbs =
-            |fills: &&ImageNo| serving.iter().any(|&serves| self.effect(**fills, serves) >= slight);
-        let disturbing = self.fillers.iter().filter(disturbs).count();
-        1.0 - disturbing as f64 / self.fillers.len().max(1) as f64
+    /// Returns the share of the best-effort images whose effects on all of the given images are
+    /// below `negligible`.
+    pub(super) fn tolerance(&self, serving: &[ImageNo], negligible: f64) -> f64 {
+        let interferes = |best_effort_image: &&ImageNo| {
+            serving
+                .iter()
+                .any(|&serving_image| self.effect(**best_effort_image, serving_image) >= negligible)
+        };
+        let interfering = self.best_effort_images.iter().filter(interferes).count();
+        1.0 - interfering as f64 / self.best_effort_images.len().max(1) as f64
     }
 
-    /// The stress at which a tail is `share` of its target.
-    pub(super) fn stress_at(&self, serves: ImageNo, target_ms: f64, share: f64) -> f64 {
-        let lowest_ms = self.images.get(serves.index()).and_then(|image| image.lowest_ms);
-        1.0 - unloaded_ms(lowest_ms, target_ms) / (target_ms * share)
+    /// Returns the stress at which a tail latency is `share` of its target.
+    pub(super) fn stress_at(&self, serving_image: ImageNo, target_ms: f64, share: f64) -> f64 {
+        let lowest_ms = self.images.get(serving_image.index()).and_then(|image| image.lowest_ms);
+        1.0 - unloaded_tail_ms(lowest_ms, target_ms) / (target_ms * share)
     }
 
-    /// Learns from a report: corrects what is believed of the task's own stress and of the effects
-    /// of what fills beside it.
+    /// Learns from a report: corrects the estimates of the task's own stress and of the effects of
+    /// the best-effort tasks beside it.
     pub(super) fn learn(
         &mut self,
-        serves: ImageNo,
+        serving_image: ImageNo,
         own: &mut Estimate,
         loads: &[Load],
         tail: Tail,
     ) {
-        for &(fills, _) in loads {
-            self.note_filler(fills);
+        for &(best_effort_image, _) in loads {
+            self.note_best_effort_image(best_effort_image);
         }
-        let Some(image) = self.images.get_mut(serves.index()) else { return };
+        let Some(image) = self.images.get_mut(serving_image.index()) else { return };
         let tail_ms = tail.tail_ms.max(1.0);
         image.lowest_ms = Some(image.lowest_ms.unwrap_or(tail_ms).min(tail_ms));
-        let unloaded_ms = unloaded_ms(image.lowest_ms, tail.target_ms);
-        let stress = (1.0 - unloaded_ms / tail_ms).clamp(0.0, MAX_STRESS);
+        let unloaded_tail_ms = unloaded_tail_ms(image.lowest_ms, tail.target_ms);
+        let stress = (1.0 - unloaded_tail_ms / tail_ms).clamp(0.0, MAX_STRESS);
         own.drift(tail.gap_s);
         image.drift(tail.at);
         image.learn(own, loads, stress);
     }
 
-    fn note_filler(&mut self, fills: ImageNo) {
-        if !self.fillers.contains(&fills) {
-            self.fillers.push(fills);
+    fn note_best_effort_image(&mut self, best_effort_image: ImageNo) {
+        if !self.best_effort_images.contains(&best_effort_image) {
+            self.best_effort_images.push(best_effort_image);
         }
     }
 }
 
-/// A queue's tail with no load at all.
-fn unloaded_ms(lowest_ms: Option<f64>, target_ms: f64) -> f64 {
+/// Returns the tail latency of an idle queue.
+fn unloaded_tail_ms(lowest_ms: Option<f64>, target_ms: f64) -> f64 {
     lowest_ms.unwrap_or(target_ms * LOWEST_TAIL_PRIOR).min(target_ms * LOWEST_TAIL_PRIOR)
-        * UNLOADED_OF_LOWEST
+        * UNLOADED_TAIL_SHARE
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/unique_queue.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/unique_queue.rs
@@ -1,18 +1,18 @@
-//! A queue in which nothing stands twice.
+//! A queue without duplicates.
 
 use std::{
     collections::{HashMap, VecDeque, hash_map::Entry},
     hash::Hash,
 };
 
-/// A queue in which nothing stands twice: what waits longest leaves first, however often it is added.
+/// A first-in, first-out queue without duplicates: adding an item again does not change its place.
 ///
-/// Each item is added with a sequence number, which never falls from one addition to the next.
+/// Each item is added with a sequence number, which never decreases from one addition to the next.
 #[derive(Debug)]
 pub(super) struct UniqueQueue<T> {
-    /// In the order in which they were added, with some that were removed since.
+    /// The items in the order of their addition, including some that were removed since.
     order: VecDeque<(T, u64)>,
-    /// What waits, and the number with which it was added.
+    /// The waiting items, each with the sequence number of its addition.
     present: HashMap<T, u64>,
 }
 
@@ -23,17 +23,16 @@
 }
 
 impl<T: Copy + Eq + Hash> UniqueQueue<T> {
-    /// Whether nothing waits.
     pub(super) fn is_empty(&self) -> bool {
         self.present.is_empty()
     }
 
-    /// How many items wait.
+    /// Returns the number of waiting items.
     pub(super) fn len(&self) -> usize {
         self.present.len()
     }
 
-    /// The number of the item that waits longest, if one waits.
+    /// Returns the sequence number of the item that has waited longest, if there is one.
     pub(super) fn oldest(&mut self) -> Option<u64> {
         while let Some((item, seq)) = self.order.front() {
             if self.present.get(item) == Some(seq) {
@@ -44,7 +43,7 @@
         None
     }
 
-    /// Adds an item behind all others, unless it waits already.
+    /// Adds an item at the end, unless it is waiting already.
     pub(super) fn push(&mut self, item: T, seq: u64) {
         if let Entry::Vacant(vacant) = self.present.entry(item) {
             vacant.insert(seq);
@@ -52,7 +51,7 @@
         }
     }
 
-    /// The item that waits longest, which leaves.
+    /// Removes and returns the item that has waited longest.
     pub(super) fn pop(&mut self) -> Option<T> {
         self.oldest()?;
         let (first, _) = self.order.pop_front()?;
@@ -60,7 +59,7 @@
         Some(first)
     }
 
-    /// Removes an item. Returns whether it waited.
+    /// Removes an item. Returns whether it was waiting.
     pub(super) fn remove(&mut self, item: &T) -> bool {
         self.present.remove(item).is_some()
     }
