--- a/crates/kitetrail-core/src/jobs/scheduler/fit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/fit.rs
@@ -77,10 +77,10 @@
 impl Fit<'_> {
     /// Returns how well a worker suits the task, where lower is better, or `None` if it can't run
     /// it.
-    pub(super) fn score(&self, no: LifeNo, life: &Life, room: &Room) -> Option<f64> {
+    pub(super) fn score(&self, worker_no: LifeNo, life: &Life, room: &Room) -> Option<f64> {
         let spec = self.spec;
         let has_label = spec.label.as_ref().is_none_or(|label| life.entry.labels.contains(label));
-        if !has_label || !self.has_room(no, life, room) {
+        if !has_label || !self.has_room(worker_no, life, room) {
             return None;
         }
         let interference = self.interference(life, room)?;
@@ -96,7 +96,7 @@
         let is_far = spec.near_rack.as_ref().is_some_and(|near| !life.entry.labels.contains(near));
         let splits_gang = spec.same_rack && self.rack.is_some_and(|rack| rack != life.entry.rack);
         let remote_cost = if is_far || splits_gang { REMOTE_WEIGHT } else { 0.0 };
-        let failed_run_cost = if self.avoid == Some(no) { FAILED_RUN_WEIGHT } else { 0.0 };
+        let failed_run_cost = if self.avoid == Some(worker_no) { FAILED_RUN_WEIGHT } else { 0.0 };
         let suspect_cost = if self.runs_alone { crash_cost(life, self.now) } else { 0.0 };
         Some(
             FULLNESS_WEIGHT * fullness
@@ -137,11 +137,12 @@
 
     /// Returns whether a worker with room for the task still has it once the gang members chosen
     /// for it are started.
-    fn has_room(&self, no: LifeNo, life: &Life, room: &Room) -> bool {
+    fn has_room(&self, worker_no: LifeNo, life: &Life, room: &Room) -> bool {
         if life.runs().contains_key(&self.name) || room.has_lone_suspect {
             return false;
         }
-        let members_on_worker = self.members.iter().filter(|&&member| member == no).count() as u32;
+        let members_on_worker =
+            self.members.iter().filter(|&&member| member == worker_no).count() as u32;
         if self.runs_alone && members_on_worker > 0 {
             return false;
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/pace.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pace.rs
@@ -37,17 +37,17 @@
 
 impl Scheduler {
     /// Learns from the latest report of a worker, and adjusts the pace of its best-effort runs.
-    pub(super) fn control_pace(&mut self, no: LifeNo) {
-        let Some(life) = self.lives.get_mut(no) else { return };
+    pub(super) fn control_pace(&mut self, worker_no: LifeNo) {
+        let Some(life) = self.lives.get_mut(worker_no) else { return };
         gauges::learn(&mut self.tails, life, self.now);
-        self.repace(no);
-        self.move_slowed(no);
+        self.repace(worker_no);
+        self.move_slowed(worker_no);
     }
 
     /// Computes the pace of the best-effort runs on a worker from the current state, and orders it.
-    pub(super) fn repace(&mut self, no: LifeNo) {
+    pub(super) fn repace(&mut self, worker_no: LifeNo) {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(no) else { return };
+        let Some(life) = self.lives.get_mut(worker_no) else { return };
         let previous_paces = mem::take(&mut life.paces);
         if !life.fills() {
             return;
@@ -67,12 +67,12 @@
             let tail_of_target_percent = worst_tail_percent(life).unwrap_or(0);
             self.out.push(Action::Note(Note::Paced { worker, percent, tail_of_target_percent }));
         }
-        self.order_paces(no);
+        self.order_paces(worker_no);
     }
 
     /// Orders the pace of best-effort runs where it differs from the last order.
-    fn order_paces(&mut self, no: LifeNo) {
-        let Some(life) = self.lives.get_mut(no) else { return };
+    fn order_paces(&mut self, worker_no: LifeNo) {
+        let Some(life) = self.lives.get_mut(worker_no) else { return };
         let mut orders = Vec::new();
         let paces = life.paces.clone();
         for (task, run) in life.runs_mut() {
@@ -84,7 +84,7 @@
             }
         }
         for order in orders {
-            self.order_before_starts(no, order);
+            self.order_before_starts(worker_no, order);
         }
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/pass.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pass.rs
@@ -71,9 +71,9 @@
     /// Begins a placement pass over the waiting jobs.
     pub(super) fn begin_pass(&mut self) -> PlacementPass {
         self.refresh_rooms();
-        let candidate = |(no, life): (LifeNo, &Life)| {
+        let candidate = |(worker_no, life): (LifeNo, &Life)| {
             let room = life.room.as_ref().filter(|_| life.takes_work(self.now))?;
-            Some(Candidate { life: no, left: room.left })
+            Some(Candidate { life: worker_no, left: room.left })
         };
         let candidates = self.lives.iter().filter_map(candidate).collect();
         PlacementPass {
--- a/crates/kitetrail-core/src/jobs/scheduler/place.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/place.rs
@@ -82,7 +82,8 @@
             if pass.starts_left == 0 || self.is_held_back(name, spec) {
                 return true;
             }
-            let Some(life) = ranking.take_best(|no| self.score(name, spec, no)) else {
+            let Some(life) = ranking.take_best(|worker_no| self.score(name, spec, worker_no))
+            else {
                 return false;
             };
             self.start(name, life, spec, None);
@@ -109,22 +110,24 @@
         let fit =
             self.fit(name, spec, &[]).map(|fit| Fit { avoid: None, runs_alone: false, ..fit });
         let Some(fit) = fit else { return Ranking::new(iter::empty()) };
-        let score = |no| Some((self.score_with(&fit, no, self.lives.get(no)?)?, no));
+        let score = |worker_no| {
+            Some((self.score_with(&fit, worker_no, self.lives.get(worker_no)?)?, worker_no))
+        };
         Ranking::new(pass.with_room_for(spec).filter_map(score))
     }
 
     /// Returns how well a worker suits a task, where lower is better, or `None` if it can't run it.
-    fn score(&mut self, name: TaskName, spec: &StepSpec, no: LifeNo) -> Option<f64> {
-        let life = self.lives.get_mut(no)?;
+    fn score(&mut self, name: TaskName, spec: &StepSpec, worker_no: LifeNo) -> Option<f64> {
+        let life = self.lives.get_mut(worker_no)?;
         if life.room.is_none() {
             life.room = Some(Room::of(life));
         }
-        self.score_up_to_date(name, spec, no)
+        self.score_up_to_date(name, spec, worker_no)
     }
 
     /// The same, for a worker whose remaining capacity is up to date.
-    fn score_up_to_date(&self, name: TaskName, spec: &StepSpec, no: LifeNo) -> Option<f64> {
-        self.score_with(&self.fit(name, spec, &[])?, no, self.lives.get(no)?)
+    fn score_up_to_date(&self, name: TaskName, spec: &StepSpec, worker_no: LifeNo) -> Option<f64> {
+        self.score_with(&self.fit(name, spec, &[])?, worker_no, self.lives.get(worker_no)?)
     }
 
     /// Returns the placement inputs of a task, beside gang members whose workers are chosen
@@ -136,7 +139,7 @@
         members: &'a [LifeNo],
     ) -> Option<Fit<'a>> {
         let job = self.jobs.get(&name.job)?;
-        let first = members.first().and_then(|&no| self.lives.get(no));
+        let first = members.first().and_then(|&worker_no| self.lives.get(worker_no));
         Some(Fit {
             name,
             spec,
@@ -155,15 +158,16 @@
 
     /// Returns all workers that suit a task, each with its score.
     fn scored_workers(&self, fit: &Fit<'_>) -> impl Iterator<Item = (f64, LifeNo)> {
-        let score = |no, life| self.score_with(fit, no, life).map(|score| (score, no));
-        self.lives.iter().filter_map(move |(no, life)| score(no, life))
+        let score =
+            |worker_no, life| self.score_with(fit, worker_no, life).map(|score| (score, worker_no));
+        self.lives.iter().filter_map(move |(worker_no, life)| score(worker_no, life))
     }
 
     /// Returns how well a worker suits a task, or `None` if it can't run it or takes no work.
-    fn score_with(&self, fit: &Fit<'_>, no: LifeNo, life: &Life) -> Option<f64> {
+    fn score_with(&self, fit: &Fit<'_>, worker_no: LifeNo, life: &Life) -> Option<f64> {
         let room = life.room.as_ref().filter(|room| room.left.fits(fit.spec))?;
         let is_eligible = life.takes_work(self.now) && life.entry.service == fit.service;
-        if is_eligible { fit.score(no, life, room) } else { None }
+        if is_eligible { fit.score(worker_no, life, room) } else { None }
     }
 
     /// Places all members of a gang or none.
@@ -211,16 +215,22 @@
     ) -> Option<LifeNo> {
         self.refresh_rooms();
         let fit = self.fit(name, spec, members)?;
-        self.scored_workers(&fit).min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, no)| no)
+        self.scored_workers(&fit).min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, worker_no)| worker_no)
     }
 
     /// Assigns a task to a worker, as the given run or as the task's next one.
-    pub(super) fn start(&mut self, name: TaskName, no: LifeNo, spec: &StepSpec, run: Option<u32>) {
+    pub(super) fn start(
+        &mut self,
+        name: TaskName,
+        worker_no: LifeNo,
+        spec: &StepSpec,
+        run: Option<u32>,
+    ) {
         let Some(job) = self.jobs.get_mut(&name.job) else { return };
         let payload = Arc::clone(&job.payload);
         let Some(&image) = job.images.get(name.step as usize) else { return };
         let Some(task) = job.task_mut(name) else { return };
-        let Some(life) = self.lives.get_mut(no) else { return };
+        let Some(life) = self.lives.get_mut(worker_no) else { return };
         let run = run.unwrap_or(task.last_run + 1);
         task.last_run = run;
         let suspected = !task.crashes.workers.is_empty();
@@ -228,7 +238,7 @@
         task.note_start(self.inherited_crashed);
         let persist_first = task.watched;
         task.crashes.begun = persist_first.then(|| BegunRun::new(run, life.entry.key()));
-        task.placed.push(Placement { life: no, run });
+        task.placed.push(Placement { life: worker_no, run });
         let checkpoint = task.checkpoint.clone().filter(|_| spec.keeps_progress);
         self.started.record(spec.kind(), job.can_be_in_time(self.now));
         self.out.push(Action::Note(Note::Placed {
@@ -246,8 +256,8 @@
         life.insert_run(name, RunThere { phase, suspected, alone: runs_alone, ..new_run });
         let order = StartOrder { task: name, run, payload, checkpoint, ticket: None };
         match persist_first {
-            true => self.order_once_kept(no, order),
-            false => self.order(no, Order::Start(order)),
+            true => self.order_once_kept(worker_no, order),
+            false => self.order(worker_no, Order::Start(order)),
         }
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/shrunk.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/shrunk.rs
@@ -13,21 +13,21 @@
 impl Scheduler {
     /// Takes back unsent starts, the last ones first, until the rest fits into the worker's
     /// capacity.
-    pub(super) fn take_back_unfit(&mut self, no: LifeNo) {
-        while let Some((task, run)) = self.last_unfit_start(no) {
-            if let Some(life) = self.lives.get_mut(no) {
+    pub(super) fn take_back_unfit(&mut self, worker_no: LifeNo) {
+        while let Some((task, run)) = self.last_unfit_start(worker_no) {
+            if let Some(life) = self.lives.get_mut(worker_no) {
                 life.orders.retain(|order| {
                     order.run() != (task, run) || !matches!(order, Order::Start(_))
                 });
             }
-            self.drop_run(no, task, run);
+            self.drop_run(worker_no, task, run);
             self.stop_gang(task, run);
         }
     }
 
     /// Returns the last unsent start for a worker that is overcommitted.
-    fn last_unfit_start(&self, no: LifeNo) -> Option<(TaskName, u32)> {
-        let life = self.lives.get(no).filter(|life| is_overcommitted(life))?;
+    fn last_unfit_start(&self, worker_no: LifeNo) -> Option<(TaskName, u32)> {
+        let life = self.lives.get(worker_no).filter(|life| is_overcommitted(life))?;
         let unsent = life.orders.iter().rev().find_map(|order| match order {
             Order::Start(start) => Some((start.task, start.run)),
             Order::Stop { .. } | Order::Pace { .. } => None,
--- a/crates/kitetrail-core/src/jobs/scheduler/slowed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/slowed.rs
@@ -28,27 +28,27 @@
 impl Scheduler {
     /// Moves best-effort runs that have been slowed for long, if they keep their progress and would
     /// run faster elsewhere.
-    pub(super) fn move_slowed(&mut self, no: LifeNo) {
-        let Some(life) = self.lives.get(no).filter(|_| self.overload.may_move()) else { return };
+    pub(super) fn move_slowed(&mut self, from: LifeNo) {
+        let Some(life) = self.lives.get(from).filter(|_| self.overload.may_move()) else { return };
         let now = self.now;
         let runs = life.runs().iter().filter(|(_, run)| is_slowed(life, run, now));
         let runs = runs.map(|(&task, run)| (task, run.run)).take(MAX_MOVES_PER_REPORT);
         for (task, run) in runs.collect::<Vec<_>>() {
             let Some(spec) = self.step_spec(task).cloned() else { continue };
-            let better_worker = self.choose(task, &spec, &[]).filter(|&other| other != no);
+            let better_worker = self.choose(task, &spec, &[]).filter(|&other| other != from);
             let pace = better_worker.and_then(|other| self.expected_pace(other, task, &spec));
             if pace.is_some_and(|pace| pace >= MIN_PACE_TO_MOVE) {
-                self.avoid(task, no);
-                self.move_run(no, task, run, "moved: slowed for long beside serving tasks");
+                self.avoid(task, from);
+                self.move_run(from, task, run, "moved: slowed for long beside serving tasks");
             }
         }
     }
 
     /// Returns the share of its full speed at which a best-effort task would run on a worker, 0 to
     /// 1.
-    fn expected_pace(&mut self, no: LifeNo, name: TaskName, spec: &StepSpec) -> Option<f64> {
+    fn expected_pace(&mut self, worker_no: LifeNo, name: TaskName, spec: &StepSpec) -> Option<f64> {
         self.refresh_rooms();
-        let life = self.lives.get(no)?;
+        let life = self.lives.get(worker_no)?;
         let image = *self.jobs.get(&name.job)?.images.get(name.step as usize)?;
         let load = f64::from(spec.size.cpu_millis.0) / capacity_millis(life);
         let headroom = life.room.as_ref()?.headroom(life, &self.tails);
--- a/crates/kitetrail-core/src/jobs/scheduler/stragglers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/stragglers.rs
@@ -59,37 +59,37 @@
 
 impl Scheduler {
     /// Checks the progress of all runs of a worker after a report.
-    pub(super) fn check_progress(&mut self, no: LifeNo) {
+    pub(super) fn check_progress(&mut self, worker_no: LifeNo) {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(no) else { return };
+        let Some(life) = self.lives.get_mut(worker_no) else { return };
         let ProgressCheck { stalled, others, progressing } = measure_progress(life, now);
         if stalled.len() >= HUNG_WORKER_STALLED_RUNS && progressing == 0 {
-            self.set_aside_hanging(no);
+            self.set_aside_hanging(worker_no);
         }
         for task in stalled {
-            self.copy_or_move(no, task, Problem::Stalled);
+            self.copy_or_move(worker_no, task, Problem::Stalled);
         }
         for task in others {
-            if self.is_slow(no, task) {
-                self.copy_or_move(no, task, Problem::Slow);
+            if self.is_slow(worker_no, task) {
+                self.copy_or_move(worker_no, task, Problem::Slow);
             }
         }
     }
 
     /// Starts copies of the runs on a silent worker that may be copied.
-    pub(super) fn copy_from_silent(&mut self, no: LifeNo) {
-        let Some(life) = self.lives.get(no) else { return };
+    pub(super) fn copy_from_silent(&mut self, worker_no: LifeNo) {
+        let Some(life) = self.lives.get(worker_no) else { return };
         for task in life.runs().keys().copied().collect::<Vec<_>>() {
             if self.step_spec(task).is_some_and(|step| step.copies_allowed) {
-                self.start_copy(no, task);
+                self.start_copy(worker_no, task);
             }
         }
     }
 
     /// Returns whether a run will take much longer than others of its step, and longer than a
     /// restart.
-    fn is_slow(&self, no: LifeNo, task: TaskName) -> bool {
-        let run = self.lives.get(no).and_then(|life| life.runs().get(&task));
+    fn is_slow(&self, worker_no: LifeNo, task: TaskName) -> bool {
+        let run = self.lives.get(worker_no).and_then(|life| life.runs().get(&task));
         let expected_ms = self.expected_ms(task);
         let (Some(run), Some(expected_ms)) = (run, expected_ms) else { return false };
         let Some(total_ms) = predicted_total_ms(run, self.now) else { return false };
@@ -112,7 +112,7 @@
     }
 
     /// Starts a copy of a stalled or slow run, or moves it, if that pays off.
-    fn copy_or_move(&mut self, no: LifeNo, task: TaskName, problem: Problem) {
+    fn copy_or_move(&mut self, worker_no: LifeNo, task: TaskName, problem: Problem) {
         if !self.overload.may_move() {
             return;
         }
@@ -121,7 +121,7 @@
             return;
         }
         if spec.copies_allowed {
-            return self.start_copy(no, task);
+            return self.start_copy(worker_no, task);
         }
         // A paced run is slow because the scheduler slowed it.
         if spec.fills && problem == Problem::Slow {
@@ -131,10 +131,12 @@
         if problem == Problem::Slow && self.task_mut(task).is_some_and(was_moved_enough) {
             return;
         }
-        let other_worker = self.choose(task, &spec, &[]).filter(|&other_worker| other_worker != no);
-        let run = self.lives.get(no).and_then(|life| life.runs().get(&task)).map(|run| run.run);
+        let other_worker =
+            self.choose(task, &spec, &[]).filter(|&other_worker| other_worker != worker_no);
+        let run =
+            self.lives.get(worker_no).and_then(|life| life.runs().get(&task)).map(|run| run.run);
         let (Some(_), Some(run)) = (other_worker, run) else { return };
-        self.avoid(task, no);
+        self.avoid(task, worker_no);
         let why = match problem {
             Problem::Stalled => "moved: it makes no progress",
             Problem::Slow => "moved: it is slower than other tasks of its step",
@@ -142,21 +144,21 @@
         if let Some(task) = self.task_mut(task).filter(|_| problem == Problem::Slow) {
             task.slow_moves += 1;
         }
-        self.move_run(no, task, run, why);
+        self.move_run(worker_no, task, run, why);
     }
 
     /// Starts a second run of a task beside its only run. A task that may crash its worker is not
     /// copied, since that could cost two workers.
-    fn start_copy(&mut self, no: LifeNo, name: TaskName) {
+    fn start_copy(&mut self, worker_no: LifeNo, name: TaskName) {
         let Some(spec) = self.step_spec(name).cloned() else { return };
         let Some(job) = self.jobs.get(&name.job).filter(|job| job.is_open()) else { return };
         let task = job.task(name);
         if task.is_none_or(|task| task.done || task.placed.len() != 1 || task.watched) {
             return;
         }
-        self.avoid(name, no);
+        self.avoid(name, worker_no);
         if let Some(other_worker) =
-            self.choose(name, &spec, &[]).filter(|&other_worker| other_worker != no)
+            self.choose(name, &spec, &[]).filter(|&other_worker| other_worker != worker_no)
         {
             self.start(name, other_worker, &spec, None);
         }
