--- a/crates/kitetrail-core/tests/jobs_evacuation.rs
+++ b/crates/kitetrail-core/tests/jobs_evacuation.rs
@@ -1,4 +1,5 @@
-//! Zones that are evacuated: nothing starts there, and what runs there ends or goes elsewhere.
+//! Tests of evacuated zones: no task starts there, and tasks running there end or move to other
+//! zones.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 mod fleet;
@@ -16,13 +17,13 @@
     test_runner::Config,
 };
 
-/// A fleet whose workers stand in the zones a and b by turns.
+/// Returns a fleet whose workers are alternately in zones a and b.
 fn two_zones(workers: u32) -> World {
     let mut world = World::new(0);
-    for no in 0..workers {
-        let mut worker = fleet::FakeWorker::new(no);
-        worker.entry.zone = zone_of(no).to_owned();
-        world.workers.insert(format!("w{no}"), worker);
+    for worker_no in 0..workers {
+        let mut worker = fleet::FakeWorker::new(worker_no);
+        worker.entry.zone = zone_of(worker_no).to_owned();
+        world.workers.insert(format!("w{worker_no}"), worker);
     }
     world.list_all();
     world.run_ms(200);
@@ -38,96 +39,96 @@
     world.tell(Event::Evacuated(zones));
 }
 
-/// How many starts went to a zone so far.
-fn starts_in(world: &World, zone: &str) -> usize {
-    let there = |id: &str| world.workers.get(id).is_some_and(|worker| worker.entry.zone == zone);
-    world.starts.iter().filter(|(.., id)| there(id)).count()
+/// Returns the number of starts in a zone so far.
+fn start_count(world: &World, zone: &str) -> usize {
+    let in_zone = |id: &str| world.workers.get(id).is_some_and(|worker| worker.entry.zone == zone);
+    world.starts.iter().filter(|(.., id)| in_zone(id)).count()
 }
 
-/// How many runs are in a zone now.
-fn running_in(world: &World, zone: &str) -> usize {
-    let there = world.workers.values().filter(|worker| worker.entry.zone == zone);
-    there.map(|worker| worker.running.len()).sum()
+/// Returns the number of runs in a zone at present.
+fn run_count(world: &World, zone: &str) -> usize {
+    let in_zone = world.workers.values().filter(|worker| worker.entry.zone == zone);
+    in_zone.map(|worker| worker.running.len()).sum()
 }
 
-/// How many tasks that last are at work now.
-fn at_work(world: &World) -> usize {
+/// Returns the number of long-running tasks that are at work at present.
+fn at_work_count(world: &World) -> usize {
     let runs = world.workers.values().flat_map(|worker| worker.running.values());
     runs.filter(|run| run.lasts && run.told_percent() == 100).count()
 }
 
-fn lasting(count: u32, may_miss: Option<u32>) -> StepSpec {
+fn long_running(count: u32, may_miss: Option<u32>) -> StepSpec {
     StepSpec { lasts: true, may_miss, ..step(count) }
 }
 
-fn completed(world: &World, job: u64) -> bool {
+fn is_completed(world: &World, job: u64) -> bool {
     world.state(job) == Some(JobState::Completed)
 }
 
 #[test]
-fn nothing_starts_in_a_zone_that_is_evacuated_until_it_is_taken_back() {
+fn no_task_starts_in_an_evacuated_zone_until_the_evacuation_ends() {
     let mut world = two_zones(4);
     evacuate(&mut world, &["a"]);
     world.submit(1, job(vec![step(24)]));
-    world.run_until("it completes", |world| completed(world, 1));
-    assert_eq!((starts_in(&world, "a"), starts_in(&world, "b")), (0, 24));
+    world.run_until("the job completes", |world| is_completed(world, 1));
+    assert_eq!((start_count(&world, "a"), start_count(&world, "b")), (0, 24));
     evacuate(&mut world, &[]);
     world.submit(2, job(vec![step(16)]));
-    world.run_until("it completes", |world| completed(world, 2));
-    assert_eq!(starts_in(&world, "a"), 8);
+    world.run_until("the job completes", |world| is_completed(world, 2));
+    assert_eq!(start_count(&world, "a"), 8);
 }
 
 #[test]
-fn short_work_that_runs_there_finishes() {
+fn short_tasks_in_an_evacuated_zone_finish() {
     let mut world = two_zones(4);
     world.submit(1, job(vec![StepSpec { keeps_progress: true, ..step(8) }]));
     world.run_ms(300);
-    assert!(running_in(&world, "a") > 0);
+    assert!(run_count(&world, "a") > 0);
     evacuate(&mut world, &["a"]);
-    world.run_until("it completes", |world| completed(world, 1));
-    assert_eq!(world.starts.len(), 8, "there is room elsewhere, and nothing moves");
+    world.run_until("the job completes", |world| is_completed(world, 1));
+    assert_eq!(world.starts.len(), 8, "there is room in the other zone, but no run moves");
 }
 
 #[test]
-fn a_new_owner_that_is_told_first_starts_nothing_there() {
+fn new_owner_that_knows_of_the_evacuation_starts_nothing_in_the_zone() {
     let mut world = two_zones(2);
     world.submit(1, job(vec![step(16)]));
     world.run_ms(300);
     evacuate(&mut world, &["a"]);
-    let before = starts_in(&world, "a");
+    let before = start_count(&world, "a");
     world.take_over_with(2, true, Event::Evacuated(["a".to_owned()].into()));
-    world.run_until("it completes", |world| completed(world, 1));
-    assert_eq!(starts_in(&world, "a"), before);
+    world.run_until("the job completes", |world| is_completed(world, 1));
+    assert_eq!(start_count(&world, "a"), before);
 }
 
 #[test]
-fn a_worker_that_is_listed_later_is_in_the_zone_as_well() {
+fn worker_listed_during_the_evacuation_gets_no_starts() {
     let mut world = two_zones(2);
     evacuate(&mut world, &["a"]);
-    let mut late = fleet::FakeWorker::new(2);
-    late.entry.zone = "a".to_owned();
-    let entry = late.entry.clone();
-    world.workers.insert("w2".to_owned(), late);
+    let mut new_worker = fleet::FakeWorker::new(2);
+    new_worker.entry.zone = "a".to_owned();
+    let entry = new_worker.entry.clone();
+    world.workers.insert("w2".to_owned(), new_worker);
     world.list(entry);
     world.submit(1, job(vec![step(12)]));
-    world.run_until("it completes", |world| completed(world, 1));
-    assert_eq!(starts_in(&world, "a"), 0);
+    world.run_until("the job completes", |world| is_completed(world, 1));
+    assert_eq!(start_count(&world, "a"), 0);
 }
 
 #[test]
-fn what_waits_to_be_told_to_a_worker_there_goes_elsewhere() {
+fn unsent_starts_go_to_another_zone() {
     let mut world = two_zones(2);
     world.worker("w0").mood = Mood::Cut;
     world.submit(1, job(vec![step(8)]));
     world.run_ms(100);
     evacuate(&mut world, &["a"]);
     world.worker("w0").mood = Mood::Well;
-    world.run_until("it completes", |world| completed(world, 1));
-    assert_eq!(starts_in(&world, "a"), 0, "{:?}", world.starts);
+    world.run_until("the job completes", |world| is_completed(world, 1));
+    assert_eq!(start_count(&world, "a"), 0, "{:?}", world.starts);
 }
 
 #[test]
-fn what_waits_for_a_silent_worker_there_does_not_wait_for_its_lease() {
+fn unsent_starts_of_a_silent_worker_do_not_wait_for_its_lease() {
     let mut world = two_zones(2);
     world.worker("w0").mood = Mood::Cut;
     world.submit(1, job(vec![step(6)]));
@@ -135,240 +136,250 @@
     evacuate(&mut world, &["a"]);
     world.run_ms(1_500);
     assert_eq!(
-        starts_in(&world, "b"),
+        start_count(&world, "b"),
         5,
         "all but the one that may have reached the silent worker"
     );
 }
 
 #[test]
-fn retries_and_copies_go_elsewhere() {
+fn retries_and_copies_go_to_another_zone() {
     let mut world = two_zones(4);
     world.work_ms = Some(3_000);
     world.submit(1, job(vec![StepSpec { copies_allowed: true, ..step(4) }]));
     world.submit(2, job(vec![step(8)]));
     world.run_ms(500);
     evacuate(&mut world, &["a"]);
-    let before = starts_in(&world, "a");
+    let before = start_count(&world, "a");
     world.worker("w1").mood = Mood::Cut;
     world.worker("w0").mood = Mood::Failing;
-    world.run_until("all complete", |world| completed(world, 1) && completed(world, 2));
-    assert_eq!(starts_in(&world, "a"), before);
+    world.run_until("all jobs complete", |world| is_completed(world, 1) && is_completed(world, 2));
+    assert_eq!(start_count(&world, "a"), before);
 }
 
 #[test]
-fn work_whose_rack_lies_there_goes_elsewhere() {
+fn tasks_near_a_rack_in_an_evacuated_zone_go_to_another_zone() {
     let mut world = two_zones(4);
-    for no in 0..4 {
-        let worker = world.worker(&format!("w{no}"));
-        worker.entry.rack = format!("r-{}", zone_of(no));
+    for worker_no in 0..4 {
+        let worker = world.worker(&format!("w{worker_no}"));
+        worker.entry.rack = format!("r-{}", zone_of(worker_no));
         worker.entry.labels = vec!["plain".to_owned(), worker.entry.rack.clone()];
     }
     world.list_all();
     evacuate(&mut world, &["a"]);
     let near = StepSpec { near_rack: Some("r-a".to_owned()), ..step(4) };
     world.submit(1, job(vec![near]));
-    world.run_until("it completes", |world| completed(world, 1));
-    assert_eq!(starts_in(&world, "a"), 0);
+    world.run_until("the job completes", |world| is_completed(world, 1));
+    assert_eq!(start_count(&world, "a"), 0);
 }
 
 #[test]
-fn tasks_that_last_move_one_after_the_other() {
+fn long_running_tasks_move_one_after_the_other() {
     let mut world = two_zones(8);
-    world.submit(1, job(vec![lasting(12, Some(2))]));
+    world.submit(1, job(vec![long_running(12, Some(2))]));
     world.run_ms(3_000);
-    let there = running_in(&world, "a");
-    assert!(there > 0, "some must move");
+    let in_zone = run_count(&world, "a");
+    assert!(in_zone > 0, "some runs must be in the zone");
     evacuate(&mut world, &["a"]);
-    let mut fewest = 12;
+    let mut fewest_at_work = 12;
     for _ in 0..2_000 {
         world.run_ms(10);
-        fewest = fewest.min(at_work(&world));
+        fewest_at_work = fewest_at_work.min(at_work_count(&world));
     }
-    assert_eq!(running_in(&world, "a"), 0);
-    assert_eq!(running_in(&world, "b"), 12);
-    assert_eq!(fewest, 11, "one after the other");
-    assert_eq!(world.starts.len(), 12 + there);
+    assert_eq!(run_count(&world, "a"), 0);
+    assert_eq!(run_count(&world, "b"), 12);
+    assert_eq!(fewest_at_work, 11, "more than one task was away at a time");
+    assert_eq!(world.starts.len(), 12 + in_zone);
 }
 
 #[test]
-fn tasks_of_which_none_may_be_away_stay() {
+fn tasks_of_a_step_that_may_miss_none_stay() {
     let mut world = two_zones(4);
-    world.submit(1, job(vec![lasting(4, Some(0))]));
+    world.submit(1, job(vec![long_running(4, Some(0))]));
     world.run_ms(1_000);
     evacuate(&mut world, &["a"]);
     world.run_ms(5_000);
     assert_eq!(world.starts.len(), 4);
-    assert_eq!(running_in(&world, "a") + running_in(&world, "b"), 4);
+    assert_eq!(run_count(&world, "a") + run_count(&world, "b"), 4);
 }
 
 #[test]
-fn what_lasts_stays_where_there_is_no_room_elsewhere() {
+fn long_running_tasks_stay_if_there_is_no_room_in_other_zones() {
     let mut world = two_zones(2);
-    world.submit(1, job(vec![lasting(8, None)]));
+    world.submit(1, job(vec![long_running(8, None)]));
     world.run_ms(1_000);
     evacuate(&mut world, &["a"]);
     world.run_ms(5_000);
-    assert_eq!((running_in(&world, "a"), running_in(&world, "b")), (4, 4));
+    assert_eq!((run_count(&world, "a"), run_count(&world, "b")), (4, 4));
     assert_eq!(world.starts.len(), 8);
 }
 
 #[test]
-fn what_serves_does_not_move_beside_what_is_known_to_disturb_it() {
+fn serving_task_does_not_move_beside_a_task_known_to_interfere() {
     let mut world = two_zones(2);
     world.work_ms = Some(600_000);
     let image = |name: &str| Some(name.to_owned());
     world.submit(1, job(vec![StepSpec { fills: true, image: image("mean"), ..step(1) }]));
     world.run_ms(1_000);
-    let disturbs = ServingEffects {
+    let interfering = ServingEffects {
         image: "touchy".to_owned(),
         effects: vec![("mean".to_owned(), 3.0)],
         lowest_tail_ms: 10.0,
     };
-    world.effects = EffectsRecord { serving: vec![disturbs] };
+    world.effects = EffectsRecord { serving: vec![interfering] };
     world.take_over(2, true);
     world.run_ms(1_000);
-    let serving = StepSpec { image: image("touchy"), tail_target_ms: Some(50), ..lasting(1, None) };
+    let serving =
+        StepSpec { image: image("touchy"), tail_target_ms: Some(50), ..long_running(1, None) };
     world.submit(2, job(vec![serving]));
     world.run_ms(2_000);
-    let (serves, fills) = (world.worker_of(task(2, 0, 0)), world.worker_of(task(1, 0, 0)));
-    let zone = world.workers[&serves].entry.zone.clone();
-    assert_ne!(serves, fills);
+    let (serving_worker, best_effort_worker) =
+        (world.worker_of(task(2, 0, 0)), world.worker_of(task(1, 0, 0)));
+    let zone = world.workers[&serving_worker].entry.zone.clone();
+    assert_ne!(serving_worker, best_effort_worker);
     evacuate(&mut world, &[zone.as_str()]);
     world.run_ms(3_000);
-    assert_eq!(world.where_runs(task(2, 0, 0)), [serves.as_str()], "it is better off there");
+    assert_eq!(
+        world.where_runs(task(2, 0, 0)),
+        [serving_worker.as_str()],
+        "the serving task moved beside a task known to interfere"
+    );
     world.cancel(1);
-    world.run_until("it moves", |world| world.where_runs(task(2, 0, 0)) == [fills.as_str()]);
+    world.run_until("the serving task moves", |world| {
+        world.where_runs(task(2, 0, 0)) == [best_effort_worker.as_str()]
+    });
 }
 
 #[test]
-fn what_would_run_for_long_and_keeps_its_progress_moves() {
+fn long_tasks_that_keep_their_progress_move() {
     let mut world = two_zones(4);
     world.work_ms = Some(40_000);
     world.submit(1, job(vec![StepSpec { keeps_progress: true, estimate_ms: 40_000, ..step(4) }]));
     world.run_ms(3_000);
-    assert!(running_in(&world, "a") > 0, "some must move");
+    assert!(run_count(&world, "a") > 0, "some runs must be in the zone");
     evacuate(&mut world, &["a"]);
     world.run_ms(6_000);
-    assert_eq!((running_in(&world, "a"), running_in(&world, "b")), (0, 4));
+    assert_eq!((run_count(&world, "a"), run_count(&world, "b")), (0, 4));
 }
 
 #[test]
-fn what_nobody_else_could_run_waits_and_the_log_says_so() {
+fn tasks_that_only_an_evacuated_zone_can_run_wait_and_are_logged() {
     let mut world = two_zones(2);
-    let large = Resources::new(8_000, 1_024, 0);
-    world.worker("w0").entry.capacity = large;
+    let large_capacity = Resources::new(8_000, 1_024, 0);
+    world.worker("w0").entry.capacity = large_capacity;
     world.list_all();
     evacuate(&mut world, &["a"]);
     world.submit(1, job(vec![StepSpec { size: Resources::new(6_000, 512, 0), ..step(2) }]));
     world.run_ms(3_000);
     assert!(world.starts.is_empty());
-    let told = |(_, note): &&(_, Note)| matches!(note, Note::WaitsForZone { .. });
-    assert_eq!(world.notes.iter().filter(told).count(), 1, "once for the step");
+    let is_waiting_note = |(_, note): &&(_, Note)| matches!(note, Note::WaitsForZone { .. });
+    assert_eq!(world.notes.iter().filter(is_waiting_note).count(), 1, "one note for the step");
     evacuate(&mut world, &[]);
-    world.run_until("it completes", |world| completed(world, 1));
+    world.run_until("the job completes", |world| is_completed(world, 1));
 }
 
 #[test]
-fn a_fleet_that_is_evacuated_whole_waits() {
+fn jobs_wait_while_all_zones_are_evacuated() {
     let mut world = two_zones(2);
     evacuate(&mut world, &["a", "b"]);
     world.submit(1, job(vec![step(4)]));
     world.run_ms(5_000);
     assert!(world.starts.is_empty());
     evacuate(&mut world, &["b"]);
-    world.run_until("it completes", |world| completed(world, 1));
-    assert_eq!(starts_in(&world, "b"), 0);
+    world.run_until("the job completes", |world| is_completed(world, 1));
+    assert_eq!(start_count(&world, "b"), 0);
 }
 
 #[test]
-fn a_gang_that_was_ordered_in_part_starts_whole_elsewhere() {
+fn partly_ordered_gang_starts_whole_in_another_zone() {
     let mut world = two_zones(4);
     world.worker("w0").mood = Mood::Cut;
     world.submit(1, job(vec![StepSpec { gang: true, max_per_worker: Some(2), ..step(4) }]));
     world.run_ms(50);
     evacuate(&mut world, &["a"]);
-    let before = starts_in(&world, "a");
+    let before = start_count(&world, "a");
     world.worker("w0").mood = Mood::Well;
-    world.run_until("it completes", |world| completed(world, 1));
-    assert_eq!(starts_in(&world, "a"), before);
+    world.run_until("the job completes", |world| is_completed(world, 1));
+    assert_eq!(start_count(&world, "a"), before);
     let last = world.starts.iter().map(|(_, _, run, _)| *run).max();
     let together = world.starts.iter().filter(|(_, _, run, _)| Some(*run) == last);
     assert_eq!(together.count(), 4, "all members of one run: {:?}", world.starts);
 }
 
-/// Something that happens in a random run.
+/// An operation of a random run.
 #[derive(Debug, Clone)]
-enum Happening {
+enum Operation {
     Evacuate([bool; 2]),
     TakeOver { stopped: bool },
     Crash(u32),
     Mood(u32, Mood),
-    Submit { tasks: u32, lasts: bool, copies: bool, keeps: bool },
+    Submit { tasks: u32, lasts: bool, copies_allowed: bool, keeps_progress: bool },
 }
 
-fn happenings() -> impl Strategy<Value = Vec<(u64, Happening)>> {
+fn operations() -> impl Strategy<Value = Vec<(u64, Operation)>> {
     let mood = prop_oneof![Just(Mood::Well), Just(Mood::Cut), Just(Mood::Late)];
     let submit = (1..8_u32, any::<bool>(), any::<bool>(), any::<bool>());
     let step = prop_oneof![
-        4 => any::<[bool; 2]>().prop_map(Happening::Evacuate),
-        1 => any::<bool>().prop_map(|stopped| Happening::TakeOver { stopped }),
-        1 => (0..6_u32).prop_map(Happening::Crash),
-        1 => (0..6_u32, mood).prop_map(|(no, mood)| Happening::Mood(no, mood)),
-        4 => submit.prop_map(|(tasks, lasts, copies, keeps)| {
-            Happening::Submit { tasks, lasts, copies, keeps }
+        4 => any::<[bool; 2]>().prop_map(Operation::Evacuate),
+        1 => any::<bool>().prop_map(|stopped| Operation::TakeOver { stopped }),
+        1 => (0..6_u32).prop_map(Operation::Crash),
+        1 => (0..6_u32, mood).prop_map(|(worker_no, mood)| Operation::Mood(worker_no, mood)),
+        4 => submit.prop_map(|(tasks, lasts, copies_allowed, keeps_progress)| {
+            Operation::Submit { tasks, lasts, copies_allowed, keeps_progress }
         }),
     ];
     proptest::collection::vec((50..1_500_u64, step), 1..24)
 }
 
-/// A random run, as far as it has come.
+/// The state of a random run.
 struct RandomRun {
     world: World,
     evacuated: BTreeSet<String>,
     jobs: Vec<(u64, bool)>,
     epoch: u64,
-    lives: u32,
+    restarts: u32,
 }
 
 impl RandomRun {
-    fn take(&mut self, happening: Happening) {
-        match happening {
-            Happening::Evacuate(wanted) => {
+    fn take(&mut self, operation: Operation) {
+        match operation {
+            Operation::Evacuate(wanted) => {
                 let zones = ["a", "b"].into_iter().zip(wanted);
-                self.evacuated =
-                    zones.filter(|(_, is)| *is).map(|(zone, _)| zone.to_owned()).collect();
+                self.evacuated = zones
+                    .filter(|(_, is_wanted)| *is_wanted)
+                    .map(|(zone, _)| zone.to_owned())
+                    .collect();
                 self.world.tell(Event::Evacuated(self.evacuated.clone()));
             }
-            Happening::TakeOver { stopped } => {
+            Operation::TakeOver { stopped } => {
                 self.epoch += 1;
                 let event = Event::Evacuated(self.evacuated.clone());
                 self.world.take_over_with(self.epoch, stopped, event);
             }
-            Happening::Crash(no) => {
-                let id = self.world.workers.keys().nth(no as usize).unwrap().clone();
-                self.lives += 1;
-                let new_id = format!("x{}", self.lives);
+            Operation::Crash(worker_no) => {
+                let id = self.world.workers.keys().nth(worker_no as usize).unwrap().clone();
+                self.restarts += 1;
+                let new_id = format!("x{}", self.restarts);
                 self.world.reborn(&id, &new_id);
                 self.world.list_all();
             }
-            Happening::Mood(no, mood) => {
-                let id = self.world.workers.keys().nth(no as usize).unwrap().clone();
+            Operation::Mood(worker_no, mood) => {
+                let id = self.world.workers.keys().nth(worker_no as usize).unwrap().clone();
                 self.world.worker(&id).mood = mood;
             }
-            Happening::Submit { tasks, lasts, copies, keeps } => {
+            Operation::Submit { tasks, lasts, copies_allowed, keeps_progress } => {
                 let id = self.jobs.len() as u64 + 1;
                 self.jobs.push((id, lasts));
-                let copies_allowed = copies && !lasts;
-                let keeps_progress = keeps && !lasts;
+                let copies_allowed = copies_allowed && !lasts;
+                let keeps_progress = keeps_progress && !lasts;
                 let step = StepSpec { lasts, copies_allowed, keeps_progress, ..step(tasks) };
                 self.world.submit(id, job(vec![step]));
             }
         }
     }
 
-    /// Lets time pass and checks where tasks were ordered to start.
-    fn pass(&mut self, ms: u64) {
+    /// Runs the world for `ms`, and checks where tasks were ordered to start.
+    fn run_ms(&mut self, ms: u64) {
         let from = self.world.start_orders.len();
         self.world.run_ms(ms);
         for (at, name, id) in &self.world.start_orders[from..] {
@@ -382,28 +393,28 @@
     #![proptest_config(Config { cases: 64, ..Config::default() })]
 
     #[test]
-    fn whatever_happens_nothing_starts_there_and_all_is_done_in_the_end(happenings in happenings()) {
+    fn random_operations_start_nothing_in_evacuated_zones_and_all_jobs_complete(operations in operations()) {
         let mut run = RandomRun {
             world: two_zones(6),
             evacuated: BTreeSet::new(),
             jobs: Vec::new(),
             epoch: 1,
-            lives: 0,
+            restarts: 0,
         };
-        for (ms, happening) in happenings {
-            // That nothing runs twice the fleet checks after each step of its clock.
-            run.take(happening);
-            run.pass(ms);
+        for (ms, operation) in operations {
+            // The fleet itself checks after each step of its clock that no task runs twice.
+            run.take(operation);
+            run.run_ms(ms);
         }
-        run.take(Happening::Evacuate([false, false]));
+        run.take(Operation::Evacuate([false, false]));
         run.world.set_moods(Mood::Well);
-        let ends = run.jobs.iter().filter(|(_, lasts)| !lasts).map(|(id, _)| *id);
-        let ends = ends.collect::<Vec<_>>();
+        let jobs_that_end = run.jobs.iter().filter(|(_, lasts)| !lasts).map(|(id, _)| *id);
+        let jobs_that_end = jobs_that_end.collect::<Vec<_>>();
         for (id, _) in run.jobs.iter().filter(|(_, lasts)| *lasts) {
             run.world.cancel(*id);
         }
-        run.world.run_until("all complete", |world| {
-            ends.iter().all(|&id| world.state(id) == Some(JobState::Completed))
+        run.world.run_until("all jobs complete", |world| {
+            jobs_that_end.iter().all(|&id| world.state(id) == Some(JobState::Completed))
         });
     }
 }
--- a/crates/kitetrail-core/tests/jobs_overload.rs
+++ b/crates/kitetrail-core/tests/jobs_overload.rs
@@ -1,4 +1,5 @@
-//! An owner with too little processor time: what callers get meanwhile, and afterwards.
+//! Tests of an owner with too little processor time, or with a slow store: what callers and tasks
+//! see during and after the overload.
 
 mod fleet;
 
@@ -10,115 +11,119 @@
     jobs::{Event, JobState, RequestNo, StepSpec},
 };
 
-/// A fleet of so many workers, each of which runs some two tasks at a time.
+/// The number of workers, each of which runs about two tasks at a time.
 const WORKERS: u32 = 120;
-/// What an event costs: the load below takes about a seventh of the owner's time.
+/// The processor time per event. The load below takes about a seventh of the owner's time.
 const EVENT_COST: Duration = Duration::from_micros(400);
-/// A job of so many tasks is handed in so often.
-const HAND_IN_EVERY_MS: u64 = 100;
-const TASKS: u32 = 20;
-/// How long a box waits for the owner's answer before it tells its caller that the job is in doubt.
-const BOX_WAITS: Duration = Duration::from_millis(900);
+/// The interval between the submissions of two jobs, of `TASKS_PER_JOB` tasks each.
+const SUBMIT_INTERVAL_MS: u64 = 100;
+const TASKS_PER_JOB: u32 = 20;
+/// The time that a box waits for the owner's answer before it tells its caller that the job is in
+/// doubt.
+const BOX_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// A job that was handed in.
-struct HandedIn {
+/// A submitted job.
+struct SubmittedJob {
     id: u64,
     request: RequestNo,
     at: Time,
 }
 
-/// What came of a load that was played with the owner some times slower for ten seconds.
-struct Outcome {
+/// The result of a load during which the owner was slower for ten seconds.
+struct LoadResult {
     world: World,
-    jobs: Vec<HandedIn>,
+    jobs: Vec<SubmittedJob>,
 }
 
-impl Outcome {
+impl LoadResult {
     fn accepted(&self) -> Vec<u64> {
-        let accepted = |job: &&HandedIn| self.world.refused(job.request) == Some(false);
+        let accepted = |job: &&SubmittedJob| self.world.refused(job.request) == Some(false);
         self.jobs.iter().filter(accepted).map(|job| job.id).collect()
     }
 
-    /// How many runs lost their lease.
+    /// Returns the number of runs that lost their lease.
     fn lapsed(&self) -> u32 {
         self.world.workers.values().map(|worker| worker.lapsed).sum()
     }
 
-    /// How many callers had no answer in the time that boxes wait.
+    /// Returns the number of callers who had no answer within the time that boxes wait.
     fn in_doubt(&self) -> usize {
-        let in_time = |job: &HandedIn| {
+        let in_time = |job: &SubmittedJob| {
             let answered = self.world.answered(job.request);
-            answered.is_some_and(|answered| answered.since(job.at) <= BOX_WAITS)
+            answered.is_some_and(|answered| answered.since(job.at) <= BOX_TIMEOUT)
         };
         self.jobs.iter().filter(|job| !in_time(job)).count()
     }
 
     /// Panics if an accepted job is not completed, or a task ran to its end more than once.
-    fn check_done_once(&self) {
+    fn check_each_task_done_once(&self) {
         let mut done = BTreeMap::new();
         for name in self.world.workers.values().flat_map(|worker| &worker.done) {
             *done.entry(*name).or_insert(0) += 1;
         }
         for id in self.accepted() {
             assert_eq!(self.world.state(id), Some(JobState::Completed), "job {id}");
-            for index in 0..TASKS {
+            for index in 0..TASKS_PER_JOB {
                 assert_eq!(done.get(&task(id, 0, index)), Some(&1), "job {id}, task {index}");
             }
         }
     }
 }
 
-/// Plays a load with the owner some times slower for ten seconds, and lets it end.
-fn starve(factor: u32, told_its_lag: bool) -> Outcome {
+/// Runs a load with the owner slower by `factor` for ten seconds, until all work is done.
+fn run_overloaded(factor: u32, measures_lag: bool) -> LoadResult {
     let mut world = World::new(WORKERS);
     let mut processor = Processor::new(EVENT_COST, world.now);
-    processor.told_its_lag = told_its_lag;
+    processor.told_its_lag = measures_lag;
     world.processor = Some(processor);
     let mut jobs = Vec::new();
-    for at_ms in (0..25_000).step_by(HAND_IN_EVERY_MS as usize) {
+    for at_ms in (0..25_000).step_by(SUBMIT_INTERVAL_MS as usize) {
         if let Some(processor) = &mut world.processor {
-            let slow = (5_000..15_000).contains(&at_ms);
-            processor.event_cost = EVENT_COST * if slow { factor } else { 1 };
+            let is_slow = (5_000..15_000).contains(&at_ms);
+            processor.event_cost = EVENT_COST * if is_slow { factor } else { 1 };
         }
-        let id = 1 + at_ms / HAND_IN_EVERY_MS;
+        let id = 1 + at_ms / SUBMIT_INTERVAL_MS;
         let at = world.now;
-        let spec = job(vec![StepSpec { keeps_progress: true, ..step(TASKS) }]);
+        let spec = job(vec![StepSpec { keeps_progress: true, ..step(TASKS_PER_JOB) }]);
         let request = world.submit(id, spec);
-        jobs.push(HandedIn { id, request, at });
-        world.run_ms(HAND_IN_EVERY_MS);
+        jobs.push(SubmittedJob { id, request, at });
+        world.run_ms(SUBMIT_INTERVAL_MS);
     }
     world.run_ms(15_000);
-    Outcome { world, jobs }
+    LoadResult { world, jobs }
 }
 
 #[test]
-fn a_starved_owner_breaks_no_promise_and_recovers() {
+fn overloaded_owner_completes_accepted_jobs_once_and_recovers() {
     for factor in [1, 2, 3, 5, 8, 12, 20, 30] {
-        let outcome = starve(factor, true);
-        outcome.check_done_once();
-        assert_eq!(outcome.lapsed(), 0, "factor {factor}: leases are renewed in time");
-        let lag = outcome.world.scheduler.lag();
-        assert!(lag < Duration::from_millis(100), "factor {factor}: it lags by {lag:?} at the end");
+        let result = run_overloaded(factor, true);
+        result.check_each_task_done_once();
+        assert_eq!(result.lapsed(), 0, "factor {factor}: leases are renewed in time");
+        let lag = result.world.scheduler.lag();
+        assert!(lag < Duration::from_millis(100), "factor {factor}: lag of {lag:?} at the end");
     }
 }
 
 #[test]
-fn callers_of_a_starved_owner_are_answered_rather_than_left_in_doubt() {
+fn callers_of_an_overloaded_owner_are_less_often_in_doubt_if_it_measures_its_lag() {
     for factor in [8, 12] {
-        let [untold, told] = [false, true].map(|told| starve(factor, told).in_doubt());
-        // Of 250 callers, 76 and 83 were left in doubt without the measure of lag, 17 and 28 with it.
+        let [without_lag, with_lag] =
+            [false, true].map(|with_lag| run_overloaded(factor, with_lag).in_doubt());
+        // Of 250 callers, 76 and 83 were left in doubt without the lag measurement, 17 and 28 with
+        // it.
         assert!(
-            told * 2 < untold,
-            "factor {factor}: {told} in doubt, {untold} without the measure"
+            with_lag * 2 < without_lag,
+            "factor {factor}: {with_lag} in doubt, {without_lag} without the lag measurement"
         );
     }
 }
 
-/// What callers saw: with boxes four times slower two of three who handed a job in were left in doubt, their jobs were kept
-/// and run all the same, and nobody waited for them: 1,186 jobs were completed, 181 of them in time, while 1,475 callers had
-/// given up. A batch took 0.3 to 0.8 s by then, and a job waits for the one on its way and for its own.
+/// Guards against jobs that run for nobody while the store is slow. With boxes four times slower,
+/// two of three callers were left in doubt, but their jobs were persisted and ran: 1,186 jobs were
+/// completed, 181 of them in time, while 1,475 callers had given up. A batch took 0.3 to 0.8 s, and
+/// a job waits for the batch in flight and for its own.
 #[test]
-fn callers_are_answered_within_the_time_that_boxes_wait_while_the_store_is_slow() {
+fn callers_are_answered_before_boxes_time_out_while_the_store_is_slow() {
     for takes_ms in [100, 300, 500, 600, 650] {
         let mut world = World::new(WORKERS);
         world.store_takes = Duration::from_millis(takes_ms);
@@ -129,21 +134,23 @@
         }
         world.run_ms(5_000);
         let in_doubt = requests.iter().filter(|(request, at)| {
-            world.answered(*request).is_none_or(|answered| answered.since(*at) > BOX_WAITS)
+            world.answered(*request).is_none_or(|answered| answered.since(*at) > BOX_TIMEOUT)
         });
         let accepted =
             requests.iter().filter(|(request, _)| world.refused(*request) == Some(false));
         let (in_doubt, accepted) = (in_doubt.count(), accepted.count());
-        // Nobody can know how long the first batch will take: callers of its first 0.4 s.
+        // The time of the first batch is unknown in advance, which affects the callers of its first
+        // 0.4 s.
         assert!(in_doubt <= 8, "store of {takes_ms} ms: {in_doubt} of 200 callers in doubt");
-        // A caller whose answer takes a batch of its own alone is answered in time.
+        // A caller whose answer takes only its own batch is answered in time.
         assert!(accepted >= 20, "store of {takes_ms} ms: {accepted} of 200 jobs accepted");
     }
 }
 
-/// The last batch of an idle fleet was slow, and no other one follows that could show that the store is well again.
+/// Guards against an idle owner that refuses jobs for good after a slow batch, because no other
+/// batch follows that could show that the store has recovered.
 #[test]
-fn an_idle_owner_takes_jobs_again_after_a_slow_batch() {
+fn idle_owner_accepts_jobs_again_after_a_slow_batch() {
     let mut world = World::new(4);
     world.store_takes = Duration::from_millis(2_000);
     world.submit(1, job(vec![step(1)]));
@@ -156,13 +163,13 @@
 }
 
 #[test]
-fn what_lasted_before_a_takeover_goes_before_short_work() {
+fn long_running_tasks_restart_before_short_tasks_after_a_takeover() {
     let mut world = World::new(4);
     world.submit(1, job(vec![StepSpec { lasts: true, ..step(12) }]));
     world.run_until("the watcher runs", |world| {
         (0..12).all(|index| !world.where_runs(task(1, 0, index)).is_empty())
     });
-    // All leases lapse, and short work that waits could take all room.
+    // All leases lapse, and the waiting short tasks could take all room.
     world.submit(2, job(vec![step(4)]));
     world.submit(3, job(vec![step(40)]));
     world.run_ms(50);
@@ -173,71 +180,72 @@
     assert_eq!(running, 12);
 }
 
-/// A watcher whose tail is above its target from the moment on at which something fills beside it.
-fn watcher_beside_nothing() -> World {
+/// A watcher whose tail latency is above its target as soon as a best-effort task runs beside it.
+fn world_with_watcher() -> World {
     let mut world = World::new(1);
     world.work_ms = Some(60_000);
     world.tail_ms = |worker| if worker.running.len() > 1 { 90 } else { 12 };
-    world.submit(1, job(vec![serves()]));
+    world.submit(1, job(vec![serving_step()]));
     world
 }
 
-fn serves() -> StepSpec {
+fn serving_step() -> StepSpec {
     StepSpec { lasts: true, tail_target_ms: Some(50), image: Some("s".to_owned()), ..step(1) }
 }
 
-fn fills() -> StepSpec {
+fn best_effort_step() -> StepSpec {
     StepSpec { fills: true, image: Some("f".to_owned()), ..step(1) }
 }
 
-/// Lets time pass for an owner that lags all the time.
-fn run_late_ms(world: &mut World, lag: Duration, ms: u64) {
+/// Runs the world for `ms` with an owner that lags all the time.
+fn run_with_lag_ms(world: &mut World, lag: Duration, ms: u64) {
     for _ in 0..ms / 10 {
         world.tell(Event::Lagged(lag));
         world.run_ms(10);
     }
 }
 
-/// Whether what fills beside the watcher is halted.
+/// Returns whether the best-effort task beside the watcher is halted.
 fn is_halted(world: &World) -> bool {
     world.workers["w0"].running[&task(2, 0, 0)].percent == 0
 }
 
 #[test]
-fn a_late_owner_halts_what_fills_where_a_tail_stays_above_its_target() {
-    // The users' platforms bear a tail above its target for 4 s; the answers of a late owner take longer too.
-    let within = Duration::from_millis(3_500);
+fn late_owner_halts_a_best_effort_task_while_a_tail_stays_above_its_target() {
+    // The users' platforms tolerate a tail above its target for 4 s; the answers of a late owner
+    // take part of that time.
+    let deadline = Duration::from_millis(3_500);
     let lag = Duration::from_millis(220);
     for after_ms in (1_000..2_500).step_by(100) {
-        let mut world = watcher_beside_nothing();
-        run_late_ms(&mut world, lag, after_ms);
-        world.submit(2, job(vec![fills()]));
+        let mut world = world_with_watcher();
+        run_with_lag_ms(&mut world, lag, after_ms);
+        world.submit(2, job(vec![best_effort_step()]));
         world.run_until("the batch task runs", |world| world.starts.len() > 1);
-        run_late_ms(&mut world, lag, within.as_millis() as u64);
-        assert!(is_halted(&world), "started after {after_ms} ms, not halted {within:?} later");
+        run_with_lag_ms(&mut world, lag, deadline.as_millis() as u64);
+        assert!(is_halted(&world), "started after {after_ms} ms, not halted {deadline:?} later");
     }
 }
 
 #[test]
-fn a_halt_goes_before_starts_that_wait() {
-    let mut world = watcher_beside_nothing();
+fn halt_is_sent_before_waiting_starts() {
+    let mut world = world_with_watcher();
     world.run_ms(1_000);
-    world.submit(2, job(vec![fills()]));
+    world.submit(2, job(vec![best_effort_step()]));
     world.run_ms(1_500);
-    assert!(!is_halted(&world), "its tail was not above its target for long enough");
-    let mut slow = Processor::new(Duration::from_millis(50), world.now);
-    slow.told_its_lag = false;
-    world.processor = Some(slow);
+    assert!(!is_halted(&world), "halted before its tail was above its target for long enough");
+    let mut slow_processor = Processor::new(Duration::from_millis(50), world.now);
+    slow_processor.told_its_lag = false;
+    world.processor = Some(slow_processor);
     let size = Resources::new(100, 100, 0);
     world.submit(3, job(vec![StepSpec { size, ..step(24) }]));
-    world.run_until("what fills is halted", is_halted);
-    let begun = world.starts.iter().filter(|(_, task, ..)| task.job.0 == 3).count();
-    // Without an order of their own all 24 go first.
-    assert!(begun <= 16, "{begun} of 24 starts went first");
+    world.run_until("the best-effort task is halted", is_halted);
+    let started = world.starts.iter().filter(|(_, task, ..)| task.job.0 == 3).count();
+    // If the halt were not sent before waiting starts, all 24 would go first.
+    assert!(started <= 16, "{started} of 24 starts were sent first");
 }
 
-/// Plays six seconds in which the answers of all workers that run something come, and the owner gets round to
-/// none of them.
+/// Runs the world for six seconds in which the answers of all busy workers arrive, but the owner
+/// reads none of them.
 fn leave_answers_unread(world: &mut World, lag: Duration) {
     let busy = world.workers.values_mut().filter(|worker| !worker.running.is_empty());
     busy.for_each(|worker| worker.mood = Mood::Unread);
@@ -250,7 +258,7 @@
 }
 
 #[test]
-fn what_ended_in_answers_that_a_late_owner_did_not_read_does_not_run_again() {
+fn runs_that_ended_in_unread_answers_do_not_run_again() {
     let mut world = World::new(12);
     world.submit(1, job(vec![step(8)]));
     world.run_ms(300);
@@ -259,20 +267,24 @@
     assert_eq!(
         world.starts.len(),
         8,
-        "its leases ran out, and nothing tells that its runs did not end"
+        "a task was restarted though its run may have ended before the lease lapsed"
     );
     world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
     assert_eq!(world.starts.len(), 8);
 }
 
 #[test]
-fn an_owner_in_time_starts_anew_what_ran_on_silent_workers() {
+fn punctual_owner_restarts_tasks_of_silent_workers() {
     let mut world = World::new(4);
     world.submit(1, job(vec![StepSpec { lasts: true, ..step(2) }]));
     world.run_ms(300);
     let id = world.worker_of(task(1, 0, 0));
     world.worker(&id).mood = Mood::Cut;
     world.run_ms(6_000);
-    let elsewhere = world.where_runs(task(1, 0, 0)).into_iter().any(|other| other != id);
-    assert!(elsewhere, "its worker is silent and its lease is over");
+    let runs_on_another_worker =
+        world.where_runs(task(1, 0, 0)).into_iter().any(|other| other != id);
+    assert!(
+        runs_on_another_worker,
+        "a task of a silent worker was not restarted after its lease lapsed"
+    );
 }
--- a/crates/kitetrail-core/tests/jobs_shrinking.rs
+++ b/crates/kitetrail-core/tests/jobs_shrinking.rs
@@ -1,7 +1,8 @@
-//! Workers whose room shrinks and grows while they run.
+//! Tests of workers whose capacity shrinks and grows while they run.
 //!
-//! A worker says in its entry what it has; that may change while it lives. Some workers start whatever they are told, so
-//! a start that was placed by the old room must not leave once the new one is known.
+//! A worker reports its capacity in its entry, which may change during its life. Some workers start
+//! whatever they are ordered, so a start that was placed by the old capacity must not be sent once
+//! the new one is known.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 mod fleet;
@@ -17,16 +18,16 @@
     jobs::{JobState, StepSpec},
 };
 
-/// How many of a worker's four cores the tasks on it take, each one core.
+/// Returns the number of cores in use of a worker with four: each task takes one.
 fn cores_in_use(world: &World, id: &str) -> usize {
     world.workers[id].running.len()
 }
 
 #[test]
-fn starts_that_wait_do_not_leave_for_a_room_that_shrank() {
+fn waiting_starts_are_not_sent_to_a_worker_that_shrank() {
     let mut world = World::new(1);
     world.work_ms = Some(5_000);
-    // The first start is not answered, so the others wait until it is settled.
+    // The first start is not answered, so the others wait until its outcome is known.
     world.worker("w0").mood = Mood::Late;
     world.submit(1, job(vec![step(4)]));
     world.run_ms(50);
@@ -35,29 +36,29 @@
     world.run_ms(4_000);
     assert!(cores_in_use(&world, "w0") <= 1, "{} tasks on one core", cores_in_use(&world, "w0"));
     world.set_cores("w0", 4_000);
-    world.run_until("it completes", |world| world.state(1) == Some(JobState::Completed));
+    world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
 }
 
 #[test]
-fn a_start_that_waits_to_be_kept_does_not_leave_for_a_room_that_shrank() {
+fn start_waiting_to_be_persisted_is_not_sent_to_a_worker_that_shrank() {
     let mut world = World::new(2);
     let name = task(1, 0, 0);
     world.make_crashing(name);
     world.submit(1, job(vec![step(1)]));
-    world.run_until("it has crashed a worker", |world| world.crashes_of(name) == 1);
+    world.run_until("the task has crashed a worker", |world| world.crashes_of(name) == 1);
     world.store_takes = Duration::from_millis(400);
     world.run_ms(3_300);
-    // It is placed again, and the store takes its time to keep that.
+    // The task is placed again, and the store is slow to persist that.
     let before = world.starts.len();
     for id in world.workers.keys().cloned().collect::<Vec<_>>() {
         world.set_cores(&id, 500);
     }
     world.run_ms(2_000);
-    assert_eq!(world.starts.len(), before, "it was started where it has no room");
+    assert_eq!(world.starts.len(), before, "the task was started on a worker without room for it");
 }
 
 #[test]
-fn what_runs_above_a_room_that_shrank_stays_and_gets_nothing_beside_it() {
+fn running_tasks_stay_on_a_worker_that_shrank_and_none_is_added() {
     let mut world = World::new(1);
     world.work_ms = Some(3_000);
     world.submit(1, job(vec![step(4)]));
@@ -65,13 +66,17 @@
     world.set_cores("w0", 2_000);
     world.submit(2, job(vec![step(2)]));
     world.run_ms(1_000);
-    assert_eq!(cores_in_use(&world, "w0"), 4, "what ran was stopped, or more was started");
-    world.run_until("both complete", |world| world.state(2) == Some(JobState::Completed));
+    assert_eq!(
+        cores_in_use(&world, "w0"),
+        4,
+        "a running task was stopped, or another one was started"
+    );
+    world.run_until("both jobs complete", |world| world.state(2) == Some(JobState::Completed));
     assert_eq!(world.state(1), Some(JobState::Completed));
 }
 
 #[test]
-fn room_that_grows_is_used_at_once() {
+fn added_capacity_is_used_at_once() {
     let mut world = World::new(1);
     world.set_cores("w0", 1_000);
     world.run_ms(100);
@@ -84,13 +89,14 @@
 }
 
 #[test]
-fn no_start_brings_a_worker_over_a_room_that_swings() {
-    // The world panics at a start that brings a worker over all that it has said to have for 4.1 s.
+fn starts_never_exceed_a_fluctuating_capacity() {
+    // The world panics at a start that exceeds all capacities that the worker has reported within
+    // 4.1 s.
     for seed in 0..30 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut world = World::with_workers((0..6).map(FakeWorker::new));
-        let lasting = StepSpec { lasts: true, size: Resources::new(500, 256, 0), ..step(4) };
-        world.submit(500, job(vec![lasting]));
+        let long_running = StepSpec { lasts: true, size: Resources::new(500, 256, 0), ..step(4) };
+        world.submit(500, job(vec![long_running]));
         for round in 0..60 {
             let id = format!("w{}", rng.random_range(0..6));
             match rng.random_range(0..4) {
@@ -108,12 +114,12 @@
             world.run_ms(rng.random_range(10..900));
         }
         world.set_moods(Mood::Well);
-        for no in 0..6 {
-            world.set_cores(&format!("w{no}"), 4_000);
+        for worker_no in 0..6 {
+            world.set_cores(&format!("w{worker_no}"), 4_000);
         }
         world.run_ms(30_000);
         assert_eq!(world.state(500), Some(JobState::Running), "seed {seed}");
-        let open = (1..61).filter(|&id| world.state(id) == Some(JobState::Queued));
-        assert_eq!(open.collect::<Vec<_>>(), [0; 0], "jobs wait for ever, seed {seed}");
+        let queued = (1..61).filter(|&id| world.state(id) == Some(JobState::Queued));
+        assert_eq!(queued.collect::<Vec<_>>(), [0; 0], "jobs still wait, seed {seed}");
     }
 }
