--- a/crates/kitetrail-core/src/jobs/scheduler/fit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/fit.rs
@@ -41,7 +41,7 @@
 /// be lost with the worker. It exceeds all other weights: such tasks go where nothing runs, or as
 /// little as possible.
 const LOST_RUN_WEIGHT: f64 = 50.0;
-/// The same for a long-running run, whose users wait until it is back.
+/// The same for a long-running run, whose users wait for its restart.
 const LOST_LONG_RUNNING_WEIGHT: f64 = 150.0;
 
 /// Weight, for such a task, of a machine that crashed recently: it may crash again by itself, which
@@ -116,14 +116,15 @@
             (true, _) => {
                 let min_pace = if spec.keeps_progress { MIN_PACE } else { MIN_PACE_IMMOVABLE };
                 let headroom = room.headroom(life, self.tails);
-                let pace = |swing| headroom.expected_pace(self.tails, self.image, load, swing);
+                let pace =
+                    |stress_rise| headroom.expected_pace(self.tails, self.image, load, stress_rise);
                 if pace(0.0) < min_pace {
                     return None;
                 }
-                let harm = headroom.added_harm(self.tails, self.image, load);
+                let penalty = headroom.added_penalty(self.tails, self.image, load);
                 let slowed = 1.0 - pace(OWN_STRESS_RISE);
-                let is_acceptable = harm <= self.lateness.max_added_harm();
-                is_acceptable.then_some(slowed + harm + SCARCITY_WEIGHT * headroom.tolerance)
+                let is_acceptable = penalty <= self.lateness.max_added_penalty();
+                is_acceptable.then_some(slowed + penalty + SCARCITY_WEIGHT * headroom.tolerance)
             }
             (_, true) => {
                 let stress = added(self.tails, &full_loads(life), self.image).min(1.0);
--- a/crates/kitetrail-core/src/jobs/scheduler/headroom.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/headroom.rs
@@ -7,11 +7,11 @@
     tails::{ImageNo, TailModel},
 };
 
-/// The distance to the stress at which a serving task reaches its target, below which harm is
-/// counted. Harm grows with the square of the distance closed, up to 1 at the target. The own load
+/// The distance to the stress at which a serving task reaches its target, below which a penalty
+/// is counted. The penalty grows with the square of the distance closed, up to 1 at the target. The own load
 /// of a task varies by about 0.2 of stress within seconds, so its lowest and highest values differ
 /// by twice that.
-const HARM_MARGIN: f64 = 0.4;
+const PENALTY_MARGIN: f64 = 0.4;
 
 /// The serving tasks on a worker, and how much interference from best-effort tasks they can take.
 #[derive(Debug, Clone)]
@@ -31,8 +31,8 @@
     /// The difference between the stress at the target and the current stress, with all best-effort
     /// tasks beside it at full speed.
     stress: f64,
-    /// The harm to the task at present.
-    harm: f64,
+    /// The present penalty of the task.
+    penalty: f64,
 }
 
 /// The serving tasks of one image on a worker.
@@ -54,17 +54,17 @@
     }
 
     /// Returns the share of its full speed at which a best-effort task would run, 0 to 1, if the
-    /// own stress of the serving tasks rises by `swing`.
+    /// own stress of the serving tasks rises by `stress_rise`.
     pub(super) fn expected_pace(
         &self,
         tails: &TailModel,
         image: ImageNo,
         load: f64,
-        swing: f64,
+        stress_rise: f64,
     ) -> f64 {
         let pace_limit = |serving: &ServingTasks| {
             let effect = tails.effect(image, serving.image);
-            let spare_stress = serving.spare_stress - swing - serving.added;
+            let spare_stress = serving.spare_stress - stress_rise - serving.added;
             if effect < NEGLIGIBLE_EFFECT {
                 1.0
             } else {
@@ -74,12 +74,12 @@
         self.serving_by_image.iter().map(pace_limit).fold(1.0, f64::min)
     }
 
-    /// Returns how much harm a best-effort task would add to all serving tasks on the worker: 1 for
+    /// Returns the penalty that a best-effort task would add to all serving tasks on the worker: 1 for
     /// each serving task that it would take from far below its target to its target.
-    pub(super) fn added_harm(&self, tails: &TailModel, image: ImageNo, load: f64) -> f64 {
+    pub(super) fn added_penalty(&self, tails: &TailModel, image: ImageNo, load: f64) -> f64 {
         let added = |margin: &Margin| {
             let stress = tails.effect(image, margin.image) * load;
-            harm(margin.stress - stress) - margin.harm
+            penalty(margin.stress - stress) - margin.penalty
         };
         self.task_margins.iter().map(added).sum()
     }
@@ -91,9 +91,9 @@
     }
 }
 
-/// Returns the harm to a serving task whose stress is `margin` below the stress at its target.
-fn harm(margin: f64) -> f64 {
-    let excess = (1.0 - margin / HARM_MARGIN).max(0.0);
+/// Returns the penalty of a serving task whose stress is `margin` below the stress at its target.
+fn penalty(margin: f64) -> f64 {
+    let excess = (1.0 - margin / PENALTY_MARGIN).max(0.0);
     excess * excess
 }
 
@@ -106,7 +106,7 @@
         let target_ms = run.tail_target_ms.unwrap_or(1) as f64;
         let stress_at_target = tails.stress_at(run.image, target_ms, 1.0);
         let stress = stress_at_target - run.own_stress.mean - added.sum::<f64>();
-        Margin { image: run.image, stress, harm: harm(stress) }
+        Margin { image: run.image, stress, penalty: penalty(stress) }
     };
     life.runs().values().filter(|run| run.serves()).map(margin).collect()
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/lateness.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/lateness.rs
@@ -3,17 +3,17 @@
 use super::super::job::Job;
 use crate::Time;
 
-/// The multiple of the queue's target time after which a job is hopeless: its result is worth
-/// little to the caller by then.
+/// The multiple of the queue's target time after which a job is hopeless: the caller then
+/// has little use for its result.
 const HOPELESS_FACTOR: u32 = 3;
 
-/// The most harm ([`Headroom::added_harm`](super::headroom::Headroom::added_harm)) that a
+/// The highest penalty ([`Headroom::added_penalty`](super::headroom::Headroom::added_penalty)) that a
 /// best-effort task may add to serving tasks on the worker where it starts; above it the task waits
-/// for a better worker. Batch work has some slack, a service that is harmed has none.
-const MAX_ADDED_HARM: f64 = 0.8;
+/// for a better worker. Batch work has some slack, a service has none.
+const MAX_ADDED_PENALTY: f64 = 0.8;
 /// The same for a task of a hopeless job, which must not wait forever where services are always
 /// busy. Serving tasks are still kept at their target by slowing the best-effort task.
-const MAX_ADDED_HARM_HOPELESS: f64 = 4.0;
+const MAX_ADDED_PENALTY_HOPELESS: f64 = 4.0;
 
 /// How far a job is behind the target time of its queue. Jobs that can still complete in time go
 /// first: they are worth most, and under overload the late jobs would make all others late.
@@ -36,11 +36,11 @@
         }
     }
 
-    /// Returns the most harm that a best-effort task may add on the worker where it starts.
-    pub(super) fn max_added_harm(self) -> f64 {
+    /// Returns the highest penalty that a best-effort task may add on the worker where it starts.
+    pub(super) fn max_added_penalty(self) -> f64 {
         match self {
-            Self::InTime | Self::Late => MAX_ADDED_HARM,
-            Self::Hopeless => MAX_ADDED_HARM_HOPELESS,
+            Self::InTime | Self::Late => MAX_ADDED_PENALTY,
+            Self::Hopeless => MAX_ADDED_PENALTY_HOPELESS,
         }
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/pass.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pass.rs
@@ -14,7 +14,7 @@
 /// A worker that takes work, and its remaining capacity when the pass began.
 #[derive(Debug)]
 struct Candidate {
-    life: LifeNo,
+    worker_no: LifeNo,
     left: Remaining,
 }
 
@@ -39,7 +39,7 @@
     /// one without room when it began has none now.
     pub(super) fn with_room_for(&self, spec: &StepSpec) -> impl Iterator<Item = LifeNo> {
         let with_room = self.candidates.iter().filter(|candidate| candidate.left.fits(spec));
-        with_room.map(|candidate| candidate.life)
+        with_room.map(|candidate| candidate.worker_no)
     }
 
     /// Returns whether a step needs at least as much as one that found no room, and is otherwise
@@ -47,7 +47,7 @@
     pub(super) fn has_no_room_for(&self, spec: &StepSpec, lateness: Lateness) -> bool {
         self.steps_without_room.iter().any(|(unplaced, unplaced_lateness)| {
             unplaced.fills == spec.fills
-                && unplaced_lateness.max_added_harm() >= lateness.max_added_harm()
+                && unplaced_lateness.max_added_penalty() >= lateness.max_added_penalty()
                 && unplaced.image == spec.image
                 && unplaced.size.fits_in(&spec.size)
                 && (unplaced.max_per_worker.is_none() && unplaced.label.is_none())
@@ -73,7 +73,7 @@
         self.refresh_rooms();
         let candidate = |(worker_no, life): (LifeNo, &Life)| {
             let room = life.room.as_ref().filter(|_| life.takes_work(self.now))?;
-            Some(Candidate { life: worker_no, left: room.left })
+            Some(Candidate { worker_no, left: room.left })
         };
         let candidates = self.lives.iter().filter_map(candidate).collect();
         PlacementPass {
--- a/crates/kitetrail-core/src/jobs/scheduler/pending.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pending.rs
@@ -52,7 +52,7 @@
     /// with high ids would be passed over for as long as the store lags behind.
     progress: UniqueQueue<JobId>,
     jobs_to_delete: BTreeSet<JobId>,
-    new_lives: BTreeSet<LifeNo>,
+    new_workers: BTreeSet<LifeNo>,
     ended_workers: BTreeSet<LifeKey>,
     /// Whether a record is to be persisted without delay.
     pub(super) urgent: bool,
@@ -62,7 +62,8 @@
     next_batch: u64,
     pub(super) sent: Option<Batch>,
     pub(super) last_sent_at: Time,
-    /// A time since which the store has confirmed that this owner owned the fleet.
+    /// When the last persisted batch was sent. Its commit proves that this owner owned the fleet at
+    /// some moment since.
     confirmed_since: Option<Time>,
     /// Whether a batch is needed for its confirmation, even if it is empty.
     pub(super) confirmation_wanted: bool,
@@ -108,7 +109,7 @@
         let reserved_for_progress = self.progress.len().min(RESERVED_ENTRIES);
         let mut room = MAX_BATCH_ENTRIES;
         let lives =
-            take_first(&mut self.new_lives, &mut room, MAX_BATCH_ENTRIES - MAX_WORKER_ENTRIES);
+            take_first(&mut self.new_workers, &mut room, MAX_BATCH_ENTRIES - MAX_WORKER_ENTRIES);
         let new_jobs = self.take_new_jobs(
             &mut room,
             reserved_for_ended + reserved_for_progress,
@@ -224,25 +225,25 @@
         }
     }
 
-    pub(super) fn add_life(&mut self, life: LifeNo) {
-        self.new_lives.insert(life);
+    pub(super) fn add_life(&mut self, worker_no: LifeNo) {
+        self.new_workers.insert(worker_no);
         self.urgent = true;
     }
 
     /// Requests that the row of a worker is soon written again.
-    pub(super) fn rewrite_life(&mut self, life: LifeNo) {
-        self.new_lives.insert(life);
+    pub(super) fn rewrite_life(&mut self, worker_no: LifeNo) {
+        self.new_workers.insert(worker_no);
     }
 
-    pub(super) fn end_life(&mut self, life: LifeNo, key: LifeKey, is_kept: bool) {
-        if !self.new_lives.remove(&life) || is_kept {
+    pub(super) fn end_life(&mut self, worker_no: LifeNo, key: LifeKey, is_kept: bool) {
+        if !self.new_workers.remove(&worker_no) || is_kept {
             self.ended_workers.insert(key);
         }
     }
 
     /// Records an end that a worker reported, before the records that it changes.
-    pub(super) fn note_end(&mut self, life: LifeNo, number: u64) {
-        self.unkept_ends.push(life, number);
+    pub(super) fn note_end(&mut self, worker_no: LifeNo, number: u64) {
+        self.unkept_ends.push(worker_no, number);
     }
 
     /// Takes out the ends whose changes are all persisted, while no batch is in flight.
@@ -315,7 +316,7 @@
             + self.ended.len()
             + self.progress.len()
             + self.jobs_to_delete.len()
-            + self.new_lives.len()
+            + self.new_workers.len()
             + self.ended_workers.len()
     }
 
@@ -329,7 +330,7 @@
             && self.ended.is_empty()
             && self.progress.is_empty()
             && self.jobs_to_delete.is_empty()
-            && self.new_lives.is_empty()
+            && self.new_workers.is_empty()
             && self.ended_workers.is_empty()
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/place.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/place.rs
@@ -82,15 +82,15 @@
             if pass.starts_left == 0 || self.is_held_back(name, spec) {
                 return true;
             }
-            let Some(life) = ranking.take_best(|worker_no| self.score(name, spec, worker_no))
+            let Some(worker_no) = ranking.take_best(|worker_no| self.score(name, spec, worker_no))
             else {
                 return false;
             };
-            self.start(name, life, spec, None);
+            self.start(name, worker_no, spec, None);
             pass.starts_left -= 1;
             let next = waiting.get(position + 1);
-            if let Some(score) = next.and_then(|&next| self.score(next, spec, life)) {
-                ranking.put_back(life, score);
+            if let Some(score) = next.and_then(|&next| self.score(next, spec, worker_no)) {
+                ranking.put_back(worker_no, score);
             }
         }
         true
@@ -183,19 +183,19 @@
         let mut chosen = Vec::new();
         for index in 0..spec.count {
             match self.choose(step.task(index), spec, &chosen) {
-                Some(life) => chosen.push(life),
+                Some(worker_no) => chosen.push(worker_no),
                 None => return,
             }
         }
         pass.starts_left = pass.starts_left.saturating_sub(spec.count);
-        for (index, life) in (0..).zip(chosen) {
+        for (index, worker_no) in (0..).zip(chosen) {
             let name = step.task(index);
             if let Some(task) = self.task_mut(name) {
                 task.checkpoint.clone_from(&checkpoint);
                 // Members wait for each other, so their starts are sent together.
                 task.watched = watched;
             }
-            self.start(name, life, spec, Some(run));
+            self.start(name, worker_no, spec, Some(run));
         }
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/ranking.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/ranking.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Ranked {
     score: f64,
-    life: LifeNo,
+    worker_no: LifeNo,
 }
 
 impl PartialEq for Ranked {
@@ -30,14 +30,14 @@
 
 impl Ord for Ranked {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.score.total_cmp(&other.score).then(self.life.cmp(&other.life))
+        self.score.total_cmp(&other.score).then(self.worker_no.cmp(&other.worker_no))
     }
 }
 
 /// Workers ranked by how well they suit the tasks of one step.
 ///
 /// All workers are scored once. Placing a task on a worker changes only the score of that worker,
-/// which is then scored again and inserted anew: a step of k tasks over n workers costs n + k
+/// which is then scored again and reinserted: a step of k tasks over n workers costs n + k
 /// scores, not k * n.
 #[derive(Debug)]
 pub(super) struct Ranking {
@@ -46,24 +46,24 @@
 
 impl Ranking {
     pub(super) fn new(scored: impl Iterator<Item = (f64, LifeNo)>) -> Self {
-        let ranked = scored.map(|(score, life)| Reverse(Ranked { score, life }));
+        let ranked = scored.map(|(score, worker_no)| Reverse(Ranked { score, worker_no }));
         Self { heap: ranked.collect() }
     }
 
     /// Removes and returns the best worker.
     ///
     /// `rescore` scores a worker for the task at hand: a worker with a worse score than before is
-    /// inserted anew, and one that can't run the task is skipped.
+    /// reinserted, and one that can't run the task is skipped.
     pub(super) fn take_best(
         &mut self,
         mut rescore: impl FnMut(LifeNo) -> Option<f64>,
     ) -> Option<LifeNo> {
         let mut skipped = Vec::new();
-        let mut best_life = None;
+        let mut best_worker = None;
         while let Some(Reverse(best)) = self.heap.pop() {
-            match rescore(best.life) {
+            match rescore(best.worker_no) {
                 Some(score) if score.total_cmp(&best.score).is_le() => {
-                    best_life = Some(best.life);
+                    best_worker = Some(best.worker_no);
                     break;
                 }
                 Some(score) => self.heap.push(Reverse(Ranked { score, ..best })),
@@ -72,11 +72,11 @@
         }
         // A skipped worker may suit the next task: it may still have run this one.
         self.heap.extend(skipped);
-        best_life
+        best_worker
     }
 
     /// Inserts a worker again after a task was placed on it.
-    pub(super) fn put_back(&mut self, life: LifeNo, score: f64) {
-        self.heap.push(Reverse(Ranked { score, life }));
+    pub(super) fn put_back(&mut self, worker_no: LifeNo, score: f64) {
+        self.heap.push(Reverse(Ranked { score, worker_no }));
     }
 }
--- a/crates/kitetrail-core/tests/jobs_evacuation.rs
+++ b/crates/kitetrail-core/tests/jobs_evacuation.rs
@@ -219,18 +219,18 @@
     let mut world = two_zones(2);
     world.work_ms = Some(600_000);
     let image = |name: &str| Some(name.to_owned());
-    world.submit(1, job(vec![StepSpec { fills: true, image: image("mean"), ..step(1) }]));
+    world.submit(1, job(vec![StepSpec { fills: true, image: image("disturbing"), ..step(1) }]));
     world.run_ms(1_000);
     let interfering = ServingEffects {
-        image: "touchy".to_owned(),
-        effects: vec![("mean".to_owned(), 3.0)],
+        image: "sensitive".to_owned(),
+        effects: vec![("disturbing".to_owned(), 3.0)],
         lowest_tail_ms: 10.0,
     };
     world.effects = EffectsRecord { serving: vec![interfering] };
     world.take_over(2, true);
     world.run_ms(1_000);
     let serving =
-        StepSpec { image: image("touchy"), tail_target_ms: Some(50), ..long_running(1, None) };
+        StepSpec { image: image("sensitive"), tail_target_ms: Some(50), ..long_running(1, None) };
     world.submit(2, job(vec![serving]));
     world.run_ms(2_000);
     let (serving_worker, best_effort_worker) =
--- a/crates/kitetrail-core/tests/jobs_overload.rs
+++ b/crates/kitetrail-core/tests/jobs_overload.rs
@@ -147,14 +147,14 @@
     }
 }
 
-/// Guards against an idle owner that refuses jobs for good after a slow batch, because no other
+/// Guards against an idle owner that refuses all further jobs after a slow batch, because no other
 /// batch follows that could show that the store has recovered.
 #[test]
 fn idle_owner_accepts_jobs_again_after_a_slow_batch() {
     let mut world = World::new(4);
     world.store_takes = Duration::from_millis(2_000);
     world.submit(1, job(vec![step(1)]));
-    world.run_until("it completes", |world| world.state(1) == Some(JobState::Completed));
+    world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
     world.store_takes = Duration::from_millis(10);
     world.run_ms(3_000);
     let request = world.submit(2, job(vec![step(1)]));
@@ -180,7 +180,8 @@
     assert_eq!(running, 12);
 }
 
-/// A watcher whose tail latency is above its target as soon as a best-effort task runs beside it.
+/// Returns a world with a watcher whose tail latency is above its target as soon as a best-effort
+/// task runs beside it.
 fn world_with_watcher() -> World {
     let mut world = World::new(1);
     world.work_ms = Some(60_000);
--- a/crates/kitetrail-core/tests/jobs_sharing.rs
+++ b/crates/kitetrail-core/tests/jobs_sharing.rs
@@ -97,10 +97,14 @@
 /// Returns the tail latency of a service: on the worker that runs job 1, each task of the jobs from
 /// 100 on raises it from 20 ms by `added_ms`.
 fn disturbed_tail_ms(worker: &FakeWorker, added_ms: u32) -> u32 {
-    let fills = worker.running.keys().filter(|name| name.job.0 >= 100).count() as u32;
+    let best_effort_tasks = worker.running.keys().filter(|name| name.job.0 >= 100).count() as u32;
     let load = worker.running.values().map(|run| u32::from(run.percent)).sum::<u32>();
     let is_sensitive = worker.running.keys().any(|name| name.job.0 == 1);
-    if is_sensitive && fills > 0 { 20 + added_ms * fills * load.min(100) / 100 } else { 20 }
+    if is_sensitive && best_effort_tasks > 0 {
+        20 + added_ms * best_effort_tasks * load.min(100) / 100
+    } else {
+        20
+    }
 }
 
 #[test]
@@ -127,14 +131,14 @@
         image: Some(image.to_owned()),
         ..step(1)
     };
-    world.submit(1, job(vec![serving_step("touchy")]));
-    world.submit(2, job(vec![serving_step("calm")]));
+    world.submit(1, job(vec![serving_step("sensitive")]));
+    world.submit(2, job(vec![serving_step("tolerant")]));
     world.run_ms(1_000);
-    let calm_worker = world.worker_of(task(2, 0, 0));
-    assert_ne!(world.where_runs(task(1, 0, 0)), [calm_worker.as_str()]);
+    let tolerant_worker = world.worker_of(task(2, 0, 0));
+    assert_ne!(world.where_runs(task(1, 0, 0)), [tolerant_worker.as_str()]);
     let best_effort_step = StepSpec {
         fills: true,
-        image: Some("mean".to_owned()),
+        image: Some("disturbing".to_owned()),
         size: Resources::new(1_500, 512, 0),
         ..step(1)
     };
@@ -142,18 +146,18 @@
         world.submit(id, job(vec![best_effort_step.clone()]));
         world.run_ms(1_500);
     }
-    let learned_effect =
-        world.effects.serving.iter().find(|serving| serving.image == "touchy").unwrap();
-    let effect = learned_effect.effects.iter().find(|(fills, _)| fills == "mean").unwrap().1;
+    let serving_effects =
+        world.effects.serving.iter().find(|serving| serving.image == "sensitive").unwrap();
+    let effect = serving_effects.effects.iter().find(|(image, _)| image == "disturbing").unwrap().1;
     let last = world.starts.iter().filter(|(_, task, ..)| task.job.0 >= 115);
-    let (mut on_calm_worker, mut all) = (0, 0);
+    let (mut on_tolerant_worker, mut all) = (0, 0);
     for (.., worker) in last {
         all += 1;
-        on_calm_worker += u32::from(*worker == calm_worker);
+        on_tolerant_worker += u32::from(*worker == tolerant_worker);
     }
     assert!(
-        on_calm_worker * 10 >= all * 9,
-        "{on_calm_worker} of {all} on the worker that is not sensitive"
+        on_tolerant_worker * 10 >= all * 9,
+        "{on_tolerant_worker} of {all} on the worker that is not sensitive"
     );
     effect
 }
@@ -189,8 +193,8 @@
     let mut world = World::new(8);
     let size = |cpu_millis| Resources::new(cpu_millis, 256, 0);
     // A third of the fleet is busy with tasks that take a third of a worker. Every two seconds a
-    // job of two tasks arrives that take a whole worker for 0.8 s, and its caller wants it within 2
-    // s.
+    // job of two tasks arrives, each of which takes a whole worker for 0.8 s. Its caller wants it
+    // within two seconds.
     let mut large_jobs = Vec::new();
     for tick in 0..200 {
         let spec = StepSpec { size: size(1_300), estimate_ms: 800, ..step(1) };
