--- a/crates/kitetrail-core/src/jobs/scheduler/pace.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pace.rs
@@ -18,7 +18,8 @@
 use crate::Time;
 
 /// The share of its target below which a tail latency is kept by slowing best-effort tasks. All of
-/// it: a task predicted to cause more is not started, so slowing is only for unforeseen effects.
+/// it: a task with a high predicted penalty is not started, so slowing is only for unforeseen
+/// effects.
 pub(super) const TARGET_SHARE: f64 = 1.0;
 /// The assumed rise of a task's own stress while a best-effort task placed beside it runs. Loads
 /// vary by about 0.2 within seconds, and the placement matters most when they are high.
