--- a/crates/kitetrail-core/src/jobs/scheduler/backlog.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/backlog.rs
@@ -82,12 +82,12 @@
 
     /// Reports the records that wait to be persisted, if there are any.
     fn report_unpersisted(&mut self) {
-        if self.pending.is_empty() && self.pending.unkept_ends() == 0 {
+        if self.pending.is_empty() && self.pending.unpersisted_ends() == 0 {
             return;
         }
         self.out.push(Action::Note(Note::Unkept {
             records: self.pending.len() as u64,
-            ends: self.pending.unkept_ends() as u64,
+            ends: self.pending.unpersisted_ends() as u64,
             batch_sent_ago_ms: self.pending.sent_ago(self.now).map(|ago| ago.as_millis() as u64),
         }));
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/pending.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pending.rs
@@ -56,7 +56,7 @@
     ended_workers: BTreeSet<LifeKey>,
     /// Whether a record is to be persisted without delay.
     pub(super) urgent: bool,
-    unkept_ends: UnkeptEnds,
+    unpersisted_ends: UnkeptEnds,
     /// When the learned effects of images were last persisted.
     pub(super) effects_at: Time,
     next_batch: u64,
@@ -192,13 +192,13 @@
     }
 
     pub(super) fn add_job(&mut self, id: JobId) {
-        self.new_jobs.push(id, self.unkept_ends.last_seq());
+        self.new_jobs.push(id, self.unpersisted_ends.last_seq());
         self.urgent = true;
     }
 
-    /// Records that a task ended, to be persisted soon.
+    /// Records new progress of a job, to be persisted soon.
     pub(super) fn note(&mut self, id: JobId) {
-        self.progress.push(id, self.unkept_ends.last_seq());
+        self.progress.push(id, self.unpersisted_ends.last_seq());
     }
 
     /// Records that a start of the job waits until it is persisted.
@@ -209,7 +209,7 @@
 
     /// Records that the job ended, to be persisted without delay.
     pub(super) fn note_urgent(&mut self, id: JobId) {
-        self.ended.push(id, self.unkept_ends.last_seq());
+        self.ended.push(id, self.unpersisted_ends.last_seq());
         self.urgent = true;
     }
 
@@ -221,7 +221,7 @@
     /// instead.
     pub(super) fn keep_forgotten(&mut self, id: JobId) {
         if self.jobs_to_delete.remove(&id) {
-            self.progress.push(id, self.unkept_ends.last_seq());
+            self.progress.push(id, self.unpersisted_ends.last_seq());
         }
     }
 
@@ -243,7 +243,7 @@
 
     /// Records an end that a worker reported, before the records that it changes.
     pub(super) fn note_end(&mut self, worker_no: LifeNo, number: u64) {
-        self.unkept_ends.push(worker_no, number);
+        self.unpersisted_ends.push(worker_no, number);
     }
 
     /// Takes out the ends whose changes are all persisted, while no batch is in flight.
@@ -253,7 +253,7 @@
             "the changes of a batch in flight are not persisted yet"
         );
         let oldest = self.ended.oldest().into_iter().chain(self.progress.oldest()).min();
-        self.unkept_ends.take_kept(oldest)
+        self.unpersisted_ends.take_kept(oldest)
     }
 
     /// Returns how long ago the batch in flight was sent, if there is one.
@@ -321,8 +321,8 @@
     }
 
     /// Returns the number of ends whose changes are not all persisted yet.
-    pub(super) fn unkept_ends(&self) -> usize {
-        self.unkept_ends.len()
+    pub(super) fn unpersisted_ends(&self) -> usize {
+        self.unpersisted_ends.len()
     }
 
     pub(super) fn is_empty(&self) -> bool {
