--- a/crates/kitetraild/src/fleet/committer.rs
+++ b/crates/kitetraild/src/fleet/committer.rs
@@ -1,5 +1,5 @@
-//! Writes the owner's batches to the store, one at a time, each on the condition that the one
-//! before is the last write there.
+//! Writes the owner's batches to the store, one at a time, each on the condition that the previous
+//! one is still the last write.
 
 use std::{
     cell::Cell,
@@ -25,47 +25,47 @@
     shared::Shared,
 };
 
-/// How often the owner writes at least. Other boxes take an owner for lost that has not written
-/// for more than twice as long.
+/// The longest interval between the owner's writes. Other boxes consider an owner lost that has not
+/// written for more than twice as long.
 pub(super) const HEARTBEAT: Duration = Duration::from_millis(300);
-/// How long to wait after a call that brought no answer. Short: the store may be back.
-const RETRY: Duration = Duration::from_millis(60);
-/// How long to wait after the store said that it has too much to do.
-const BUSY_RETRY: Duration = Duration::from_millis(150);
+/// The delay after a call that got no answer. It is short because the store may have recovered.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
+/// The delay after the store refused a write, such as when it is overloaded.
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// A write whose answer has not come after so many times the usual time seems lost.
-const LOST_AFTER_USUAL: u32 = 4;
-/// But not before: the store takes 5 ms, and some writes wait in line.
-const LOST_AFTER_LEAST: Duration = Duration::from_millis(60);
+/// A write is sent again if its answer has not arrived within this multiple of the typical latency.
+const RESEND_LATENCY_FACTOR: u32 = 4;
+/// The shortest wait before a write is sent again: the store takes 5 ms, and some writes are queued.
+const MIN_RESEND_DELAY: Duration = Duration::from_millis(60);
 
-/// How many tries of one write follow each other so soon. Later ones come when earlier ones have made
-/// their connections suspect.
-const SOON_TRIES: u32 = 5;
+/// The number of attempts of a write that are sent at this short interval. Later ones wait until the
+/// connections of earlier ones are suspect.
+const MAX_FAST_ATTEMPTS: u32 = 5;
 
-/// How much one write weighs in the usual time of writes, as one part in so many: a slow store is
-/// believed in after ten writes.
-const USUAL_PARTS: u32 = 8;
+/// The smoothing divisor of the typical write latency: each write contributes one part in eight, so
+/// that the estimate adapts to a slow store within about ten writes.
+const LATENCY_SMOOTHING: u32 = 8;
 
-/// The HTTP statuses with which the store says that it will never take a write: malformed, and too large.
-const REFUSED_FOR_GOOD: [u16; 2] = [400, 413];
-/// An owner gives the fleet up once the store has refused a write for good so often in a row. The next one knows
-/// what is kept alone; with this write in hand it would keep nothing any more. More than once, since a platform in
-/// trouble may say so by mistake.
-const REFUSALS_AT_MOST: u32 = 3;
+/// The HTTP statuses that refuse a write permanently: malformed, and too large.
+const PERMANENT_REFUSAL_STATUSES: [u16; 2] = [400, 413];
+/// The number of consecutive permanent refusals after which an owner gives up the fleet. The next owner starts from
+/// the committed state alone, whereas this one could commit nothing more while this write is pending. More than one
+/// refusal is required, since a failing platform may return such a status by mistake.
+const MAX_PERMANENT_REFUSALS: u32 = 3;
 
-type Tries = JoinSet<Result<TransactionAnswer, PlatformError>>;
+type Attempts = JoinSet<Result<TransactionAnswer, PlatformError>>;
 
-/// Why records are not kept, and never will be by this owner.
+/// The reason why this owner can never commit a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum NotWritten {
+enum WriteFailure {
     /// Another owner has written.
     AnotherOwner,
-    /// They can't be encoded, or the store refuses them for good.
+    /// The records can't be encoded, or the store refuses them permanently.
     Refused,
 }
 
-impl NotWritten {
-    fn text(self) -> &'static str {
+impl WriteFailure {
+    fn reason(self) -> &'static str {
         match self {
             Self::AnotherOwner => "another owner wrote",
             Self::Refused => "a write is refused for good",
@@ -73,25 +73,25 @@
     }
 }
 
-/// Records to keep for good.
+/// Records to commit to the store.
 #[derive(Debug)]
 pub(super) struct Batch {
     pub(super) number: u64,
     pub(super) records: Vec<Record>,
 }
 
-/// The owner's writer.
+/// The writer of the owner's batches.
 pub(super) struct Committer<P: Platform> {
     shared: Rc<Shared<P>>,
     epoch: u64,
     earlier_owners: Rc<Cell<EarlierOwners>>,
-    /// The version of the head row as this owner wrote it last.
+    /// The version of the head row after this owner's last write.
     head_version: u64,
     /// The number of the last write.
     write: u64,
     owner: mpsc::Sender<OwnerMessage>,
-    /// How long the store takes over a write, of late.
-    usual: Duration,
+    /// The moving average of the store's write latency.
+    typical_latency: Duration,
 }
 
 impl<P: Platform> Committer<P> {
@@ -102,10 +102,18 @@
         head_version: u64,
         owner: mpsc::Sender<OwnerMessage>,
     ) -> Self {
-        Self { shared, epoch, earlier_owners, head_version, write: 0, owner, usual: Duration::ZERO }
+        Self {
+            shared,
+            epoch,
+            earlier_owners,
+            head_version,
+            write: 0,
+            owner,
+            typical_latency: Duration::ZERO,
+        }
     }
 
-    /// Writes until no more batches come or another owner has written.
+    /// Writes batches until the channel closes or another owner has written.
     pub(super) async fn run(mut self, mut batches: mpsc::Receiver<Batch>) {
         loop {
             let (number, records) = match time::timeout(HEARTBEAT, batches.recv()).await {
@@ -114,12 +122,12 @@
                 Err(_) => (None, Vec::new()),
             };
             let began_at = self.shared.clock.now();
-            self.shared.writes_since.set(Some(began_at));
+            self.shared.write_pending_since.set(Some(began_at));
             let written = self.write(&records).await;
-            self.shared.writes_since.set(None);
-            self.shared.owned_at.set(written.is_ok().then_some(began_at));
-            if let Err(why) = written {
-                let _ = self.owner.send(OwnerMessage::Deposed(why.text())).await;
+            self.shared.write_pending_since.set(None);
+            self.shared.confirmed_owner_at.set(written.is_ok().then_some(began_at));
+            if let Err(failure) = written {
+                let _ = self.owner.send(OwnerMessage::Deposed(failure.reason())).await;
                 return;
             }
             if let Some(number) = number {
@@ -128,8 +136,8 @@
         }
     }
 
-    /// Writes records.
-    async fn write(&mut self, records: &[Record]) -> Result<(), NotWritten> {
+    /// Writes records, retrying until the store answers definitely.
+    async fn write(&mut self, records: &[Record]) -> Result<(), WriteFailure> {
         self.write += 1;
         let head = HeadRow {
             epoch: self.epoch,
@@ -139,8 +147,8 @@
         let transaction = match self.transaction(head, records) {
             Ok(transaction) => transaction,
             Err(error) => {
-                log::error!("owner: records can't be encoded: {error}");
-                return Err(NotWritten::Refused);
+                log::error!("owner: failed to encode records: {error}");
+                return Err(WriteFailure::Refused);
             }
         };
         let mut refused = 0;
@@ -148,15 +156,15 @@
             let answer = self.transact(&transaction).await;
             self.shared.note_store(&answer);
             match answer {
-                Ok(answer) if self.note_answer(&answer, head) => return Ok(()),
-                Ok(_) => return Err(NotWritten::AnotherOwner),
+                Ok(answer) if self.record_answer(&answer, head) => return Ok(()),
+                Ok(_) => return Err(WriteFailure::AnotherOwner),
                 Err(error) => {
-                    refused = if is_for_good(&error) { refused + 1 } else { 0 };
-                    self.note_failure(&error).await;
+                    refused = if is_permanent_refusal(&error) { refused + 1 } else { 0 };
+                    self.log_failure_and_wait(&error).await;
                 }
             }
-            if refused >= REFUSALS_AT_MOST {
-                return Err(NotWritten::Refused);
+            if refused >= MAX_PERMANENT_REFUSALS {
+                return Err(WriteFailure::Refused);
             }
             if self.owner.is_closed() {
                 return Ok(());
@@ -164,20 +172,20 @@
         }
     }
 
-    /// How long owners before this one may go on to renew leases, in milliseconds, rounded up.
+    /// Returns how long earlier owners may continue to renew leases, in milliseconds, rounded up.
     fn earlier_renew_for_ms(&self) -> u64 {
         let may_renew_for = self.earlier_owners.get().may_renew_for(self.shared.clock.now());
         may_renew_for.as_micros().div_ceil(1_000) as u64
     }
 
-    /// Whether a write is done, by what the store answered.
-    fn note_answer(&mut self, answer: &TransactionAnswer, head: HeadRow) -> bool {
+    /// Processes the store's answer and returns whether the write was committed.
+    fn record_answer(&mut self, answer: &TransactionAnswer, head: HeadRow) -> bool {
         let version = match answer {
             TransactionAnswer::Done { version } => Some(*version),
             TransactionAnswer::Conflict { rows } => {
-                // An earlier try, whose answer was lost, may have done it.
-                let ours = rows.iter().find(|row| rows::decode(row).ok() == Some(head));
-                ours.map(|row| row.version)
+                // An earlier attempt whose answer was lost may have succeeded.
+                let own_write = rows.iter().find(|row| rows::decode(row).ok() == Some(head));
+                own_write.map(|row| row.version)
             }
         };
         self.shared.metrics.note_commit(if version.is_some() { "done" } else { "conflict" });
@@ -185,64 +193,68 @@
         version.is_some()
     }
 
-    /// Sends a transaction, and again while its answer seems to be lost.
+    /// Sends a transaction, and sends it again while its answer seems lost.
     ///
-    /// That is safe: all tries carry the same condition, which holds for one of them at most, and
-    /// the head tells whether an earlier one was done.
+    /// That is safe: all attempts carry the same condition, which holds for at most one of them, and
+    /// the head row shows whether an earlier one was committed.
     async fn transact(
         &mut self,
         transaction: &RowTransaction,
     ) -> Result<TransactionAnswer, PlatformError> {
         let started = Instant::now();
         let suspect_after = self.shared.settings.limits.store_suspect_after;
-        // After an outage writes seem to take long, and a silent connection must still be noticed.
-        let wait = self.usual.saturating_mul(LOST_AFTER_USUAL).min(suspect_after);
-        let wait = wait.max(LOST_AFTER_LEAST);
-        let mut tries = JoinSet::new();
-        self.send(&mut tries, transaction);
-        let mut sent = 1;
+        // The average is high after an outage, but an unresponsive connection must still be detected.
+        let fast_resend_after =
+            self.typical_latency.saturating_mul(RESEND_LATENCY_FACTOR).min(suspect_after);
+        let fast_resend_after = fast_resend_after.max(MIN_RESEND_DELAY);
+        let mut attempts = JoinSet::new();
+        self.spawn_attempt(&mut attempts, transaction);
+        let mut sent_count = 1;
         loop {
-            let pause = if sent < SOON_TRIES { wait } else { suspect_after };
-            match time::timeout(pause, tries.join_next()).await {
+            let resend_after =
+                if sent_count < MAX_FAST_ATTEMPTS { fast_resend_after } else { suspect_after };
+            match time::timeout(resend_after, attempts.join_next()).await {
                 Ok(Some(Ok(Ok(answer)))) => {
-                    self.usual = (self.usual * (USUAL_PARTS - 1) + started.elapsed()) / USUAL_PARTS;
+                    self.typical_latency = (self.typical_latency * (LATENCY_SMOOTHING - 1)
+                        + started.elapsed())
+                        / LATENCY_SMOOTHING;
                     return Ok(answer);
                 }
-                Ok(Some(Ok(Err(error)))) if tries.is_empty() => return Err(error),
-                Ok(Some(Err(error))) if tries.is_empty() => return Err(broken(&error)),
+                Ok(Some(Ok(Err(error)))) if attempts.is_empty() => return Err(error),
+                Ok(Some(Err(error))) if attempts.is_empty() => return Err(task_failure(&error)),
                 Ok(Some(_)) => {}
                 Ok(None) | Err(_) => {
                     log::debug!(
                         write = self.write;
-                        "owner: a write's answer seems lost, sent again"
+                        "owner: the answer to a write seems lost, sending it again"
                     );
                     self.shared.metrics.note_commit("again");
-                    self.send(&mut tries, transaction);
-                    sent += 1;
+                    self.spawn_attempt(&mut attempts, transaction);
+                    sent_count += 1;
                 }
             }
         }
     }
 
-    fn send(&self, tries: &mut Tries, transaction: &RowTransaction) {
+    fn spawn_attempt(&self, attempts: &mut Attempts, transaction: &RowTransaction) {
         let (store, transaction) = (self.shared.services.store.clone(), transaction.clone());
-        tries.spawn_local(async move { store.transact(&transaction).await });
+        attempts.spawn_local(async move { store.transact(&transaction).await });
     }
 
-    async fn note_failure(&self, error: &PlatformError) {
+    async fn log_failure_and_wait(&self, error: &PlatformError) {
         self.shared.metrics.note_commit("failed");
-        match is_for_good(error) {
+        match is_permanent_refusal(error) {
             true => log::error!(
                 write = self.write;
                 "owner: the store refuses a write for good: {error}"
             ),
             false => log::debug!(
                 write = self.write;
-                "owner: a write failed and is tried again: {error}"
+                "owner: a write failed and will be retried: {error}"
             ),
         }
-        let busy = matches!(error, PlatformError::Refused { .. });
-        time::sleep(if busy { BUSY_RETRY } else { RETRY }).await;
+        let was_refused = matches!(error, PlatformError::Refused { .. });
+        time::sleep(if was_refused { BUSY_RETRY_DELAY } else { RETRY_DELAY }).await;
     }
 
     fn transaction(
@@ -254,17 +266,17 @@
         transaction.expected.push((rows::head_row(), self.head_version));
         transaction.puts.push((rows::head_row(), serde_json::to_vec(&head)?));
         for record in records {
-            rows::add(&mut transaction, record)?;
+            rows::add_record(&mut transaction, record)?;
         }
         Ok(transaction)
     }
 }
 
-/// Whether the store will never take a write, by what it answered.
-fn is_for_good(error: &PlatformError) -> bool {
-    matches!(error, PlatformError::Refused { status, .. } if REFUSED_FOR_GOOD.contains(status))
+/// Returns whether an error means that the store will never accept the write.
+fn is_permanent_refusal(error: &PlatformError) -> bool {
+    matches!(error, PlatformError::Refused { status, .. } if PERMANENT_REFUSAL_STATUSES.contains(status))
 }
 
-fn broken(error: &JoinError) -> PlatformError {
+fn task_failure(error: &JoinError) -> PlatformError {
     PlatformError::AnswerLost { service: "store", cause: error.to_string() }
 }
--- a/crates/kitetraild/src/fleet/evacuation.rs
+++ b/crates/kitetraild/src/fleet/evacuation.rs
@@ -1,4 +1,4 @@
-//! The zones that operators have evacuated, as this box knows them.
+//! The zones evacuated by operators, as far as this box knows.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,12 +16,12 @@
 
 use super::{Platform, ownership::RETRY, shared::Shared};
 
-/// Where what is known comes from.
+/// The origin of evacuation requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Source {
-    /// All requests were read.
+    /// A read of all requests.
     List,
-    /// The operators' table was watched.
+    /// A watch on the operators' table.
     Watch,
 }
 
@@ -34,29 +34,29 @@
     }
 }
 
-/// The zones that operators have evacuated, as this box knows them.
+/// The zones evacuated by operators, as far as this box knows.
 #[derive(Debug, Default)]
 pub(super) struct EvacuatedZones {
     known: RefCell<Evacuations>,
-    /// When the last call began that told what the requests are.
+    /// The start time of the latest call that returned the requests.
     asked_at: Cell<Option<Time>>,
-    /// How often the zones changed.
+    /// The number of times the zones changed.
     revision: Cell<u64>,
 }
 
 impl EvacuatedZones {
-    /// A number that rises with each change of the zones.
+    /// Returns a number that increases with each change of the zones.
     pub(super) fn revision(&self) -> u64 {
         self.revision.get()
     }
 
-    /// The zones in which nothing is to be started.
+    /// Returns the zones in which nothing may be started.
     pub(super) fn zones(&self) -> BTreeSet<String> {
         self.known.borrow().zones().map(str::to_owned).collect()
     }
 
-    /// Takes note of what a call told that began at a moment. Returns how many zones are evacuated if
-    /// that changed something.
+    /// Records the requests returned by a call that began at `asked_at`. Returns the number of evacuated
+    /// zones if something changed.
     pub(super) fn note(
         &self,
         source: Source,
@@ -84,34 +84,34 @@
         is_changed.then(|| known.count())
     }
 
-    /// Whether a call that told the requests began within a time.
-    fn is_known_since(&self, now: Time, fresh_for: Duration) -> bool {
+    /// Returns whether the latest call that returned the requests began at most `fresh_for` ago.
+    fn is_known_within(&self, now: Time, fresh_for: Duration) -> bool {
         self.asked_at.get().is_some_and(|at| now.since(at) <= fresh_for)
     }
 }
 
 /// Waits until this box knows which zones are evacuated, as a new owner must before it starts anything.
-/// `false`: the box is stopping.
+/// Returns `false` if the box is stopping.
 ///
-/// A box that was cut off or stood still may know what held long ago.
-pub(super) async fn until_known<P: Platform>(shared: &Rc<Shared<P>>) -> bool {
-    // The calls that watch the operators' table follow each other at once, so that the last one that was
-    // answered began two waits ago at most, and a little more on a slow link.
+/// The known zones may be outdated on a box that was partitioned or suspended.
+pub(super) async fn wait_until_known<P: Platform>(shared: &Rc<Shared<P>>) -> bool {
+    // The calls that watch the operators' table follow each other immediately, so the last answered call
+    // began at most two waits ago, plus some slack for a slow link.
     let limits = shared.settings.limits;
     let fresh_for = limits.config_wait.saturating_mul(2).saturating_add(limits.watch_slack);
-    while !shared.evacuated.is_known_since(shared.clock.now(), fresh_for) {
+    while !shared.evacuated.is_known_within(shared.clock.now(), fresh_for) {
         if shared.draining.get() {
             return false;
         }
-        if read(shared).await.is_none() {
+        if read_requests(shared).await.is_none() {
             time::sleep(RETRY).await;
         }
     }
     true
 }
 
-/// Reads the requests alone: a configuration may be large, and a new owner's link slow.
-async fn read<P: Platform>(shared: &Rc<Shared<P>>) -> Option<()> {
+/// Reads only the evacuation requests: a configuration may be large, and a new owner's link slow.
+async fn read_requests<P: Platform>(shared: &Rc<Shared<P>>) -> Option<()> {
     let asked_at = shared.clock.now();
     let read = shared.services.store.evacuations().await;
     shared.note_store(&read);
--- a/crates/kitetraild/src/fleet/mod.rs
+++ b/crates/kitetraild/src/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! Runs the jobs of a fleet: every box takes calls, one of them owns the fleet.
+//! Runs the jobs of a fleet: every box accepts calls, and one of them owns the fleet and schedules it.
 //!
-//! What must last lives in the platform's store. Boxes keep nothing of their own.
+//! All durable state is in the platform's store. Boxes keep no durable state of their own.
 
 mod calls;
 mod committer;
@@ -35,11 +35,11 @@
 
 /// The platform's services, as one type.
 pub trait Platform: 'static {
-    /// The store, which also lists workers and holds what operators ask for.
+    /// The store, which also lists workers and holds the operators' configuration and requests.
     type Store: RowStore + WorkerList + OperatorSource + Clone + 'static;
-    /// Orders to workers.
+    /// The client that sends orders to workers.
     type Workers: WorkerControl + Clone + 'static;
-    /// How callers write jobs.
+    /// The codec of job requests and responses.
     type Codec: JobCodec + Clone + 'static;
 }
 
@@ -48,10 +48,10 @@
 pub struct Services<P: Platform> {
     /// The store.
     pub store: P::Store,
-    /// Orders to workers.
+    /// The client that sends orders to workers.
     pub workers: P::Workers,
-    /// How callers write jobs.
+    /// The codec of job requests and responses.
     pub codec: P::Codec,
-    /// How often connections were found silent, those of the services included.
+    /// The counts of connections found unresponsive, including those of the services.
     pub silences: SilenceCounts,
 }
--- a/crates/kitetraild/src/fleet/notes.rs
+++ b/crates/kitetraild/src/fleet/notes.rs
@@ -1,9 +1,9 @@
-//! The scheduler's decisions as lines of the log.
+//! Writes the scheduler's decisions to the log.
 
 use kitetrail_core::jobs::{LifeId, Note, TaskName};
 
-/// Writes a decision.
-pub(super) fn write(note: &Note) {
+/// Writes a decision to the log.
+pub(super) fn log_note(note: &Note) {
     match note {
         Note::Submitted { job, queue, tasks, known } => log::info!(
             job = job.to_string(), queue = queue.as_str(), tasks = *tasks, known = *known;
@@ -15,19 +15,19 @@
             "job: ended"
         ),
         Note::Placed { task, run, worker, free, heard_ago_ms } => log::info!(
-            job = task.job.to_string(), task = short(task), run = *run, worker = worker.as_str(),
+            job = task.job.to_string(), task = task_path(task), run = *run, worker = worker.as_str(),
             free = free.to_string(), heard_ago_ms:? = *heard_ago_ms;
             "run: placed"
         ),
         Note::RunEnded { task, run, worker, how } => log::info!(
-            job = task.job.to_string(), task = short(task), run = *run, worker = worker.as_str(),
+            job = task.job.to_string(), task = task_path(task), run = *run, worker = worker.as_str(),
             how:? = *how;
             "run: ended"
         ),
         Note::EndPassedOver { task, run, worker, number, seen } => log::warn!(
-            job = task.job.to_string(), task = short(task), run = *run, worker = worker.as_str(),
+            job = task.job.to_string(), task = task_path(task), run = *run, worker = worker.as_str(),
             number = *number, seen = *seen;
-            "run: its end was passed over, its number was heard before"
+            "run: end ignored, its number was already reported"
         ),
         Note::WorkerRestarted { worker, before, now, ends_seen, runs } => log::warn!(
             worker = worker.as_str(), before:? = *before, now:? = *now,
@@ -35,30 +35,30 @@
             "worker: started again under its id"
         ),
         Note::RunGivenUp { task, run, worker, why, ran_ms, beside } => log::warn!(
-            job = task.job.to_string(), task = short(task), run = *run, worker = worker.as_str(),
+            job = task.job.to_string(), task = task_path(task), run = *run, worker = worker.as_str(),
             why = *why, ran_ms:? = *ran_ms, beside = *beside;
             "run: lost"
         ),
         Note::CrashedUnder { task, worker, evidence, crashes } => log::warn!(
-            job = task.job.to_string(), task = short(task), worker = worker.as_str(),
+            job = task.job.to_string(), task = task_path(task), worker = worker.as_str(),
             evidence = evidence.as_str(), crashes = *crashes;
             "task: its worker crashed"
         ),
         Note::NoMoreSuspected { task } => log::info!(
-            job = task.job.to_string(), task = short(task);
+            job = task.job.to_string(), task = task_path(task);
             "task: suspected of crashes no more"
         ),
         Note::CrashingTaskGivenUp { task, workers } => log::error!(
-            job = task.job.to_string(), task = short(task), crashed = join(workers);
+            job = task.job.to_string(), task = task_path(task), crashed = join_ids(workers);
             "job: failed, a task crashes its workers"
         ),
         Note::RunMoved { task, run, worker, why } => log::info!(
-            job = task.job.to_string(), task = short(task), run = *run, worker = worker.as_str(),
+            job = task.job.to_string(), task = task_path(task), run = *run, worker = worker.as_str(),
             why = *why;
             "run: moved"
         ),
         Note::OrderFailed { task, run, worker, answer } => log::warn!(
-            job = task.job.to_string(), task = short(task), run = *run, worker = worker.as_str(),
+            job = task.job.to_string(), task = task_path(task), run = *run, worker = worker.as_str(),
             answer:? = *answer;
             "order: not done"
         ),
@@ -100,11 +100,11 @@
     }
 }
 
-fn join(workers: &[LifeId]) -> String {
+fn join_ids(workers: &[LifeId]) -> String {
     workers.iter().map(LifeId::as_str).collect::<Vec<_>>().join(" ")
 }
 
-/// The task within its job.
-fn short(task: &TaskName) -> String {
+/// Formats the name of a task without its job.
+fn task_path(task: &TaskName) -> String {
     format!("{}.{}.{}", task.occurrence, task.step, task.index)
 }
--- a/crates/kitetraild/src/fleet/owner/actions.rs
+++ b/crates/kitetraild/src/fleet/owner/actions.rs
@@ -1,4 +1,4 @@
-//! Does what the scheduler asks the owner for.
+//! Executes the scheduler's actions.
 
 use std::{pin::pin, sync::Arc, time::Duration};
 
@@ -14,23 +14,23 @@
     Owner, OwnerMessage,
 };
 
-/// How long an answer that comes late is still read: what it says has ended has ended for good, and
-/// must not run again. Longer than leases last, 4 s.
-const LATE_REPORT: Duration = Duration::from_millis(4_500);
+/// How long a late answer to a hold is still accepted: the runs it reports as ended must not run again.
+/// Longer than a lease, 4 s.
+const LATE_REPORT_TIMEOUT: Duration = Duration::from_millis(4_500);
 
 impl<P: Platform> Owner<P> {
-    /// Does what the scheduler asks for. `false`: deposed.
-    pub(super) fn act(&mut self, action: Action) -> bool {
+    /// Executes an action of the scheduler. Returns `false` if this owner is deposed.
+    pub(super) fn execute(&mut self, action: Action) -> bool {
         match action {
             Action::Order { life, entry, token, lease_until_ms, order } => {
                 self.send_order(life, entry, token, lease_until_ms, order);
             }
             Action::Hold { life, entry, hold } => self.send_hold(life, entry, hold),
             Action::Commit { batch, records } => {
-                self.unkept = true;
-                // One batch is on its way at most, and the channel has room for one.
+                self.commit_in_flight = true;
+                // At most one batch is in flight, and the channel has room for one.
                 if self.batches.try_send(Batch { number: batch, records }).is_err() {
-                    log::error!("owner: the writer takes no batch");
+                    log::error!("owner: the writer does not accept a batch");
                     return false;
                 }
             }
@@ -44,9 +44,9 @@
                 self.reply(request, Answer::Cancelled);
             }
             Action::AnswerCancel(request, CancelAnswer::Unknown(job)) => {
-                self.reply(request, self.unknown(job));
+                self.reply(request, self.unknown_job_answer(job));
             }
-            Action::Note(note) => self.note(&note),
+            Action::Note(note) => self.record_note(&note),
             Action::Deposed => {
                 log::warn!("owner: deposed, a worker has seen a higher fencing token");
                 return false;
@@ -55,8 +55,8 @@
         true
     }
 
-    /// Writes a decision to the log, and counts it.
-    fn note(&self, note: &Note) {
+    /// Logs a decision and updates the metrics.
+    fn record_note(&self, note: &Note) {
         match note {
             Note::CrashedUnder { evidence, .. } => {
                 self.shared.metrics.note_task_crash(evidence.as_str());
@@ -65,7 +65,7 @@
             Note::CrashingTaskGivenUp { .. } => self.shared.metrics.note_crashing_job(),
             _ => {}
         }
-        notes::write(note);
+        notes::log_note(note);
     }
 
     fn send_order(
@@ -89,12 +89,15 @@
         self.shared.metrics.note_decision("hold");
         let (workers, sender) = (self.shared.services.workers.clone(), self.sender.clone());
         let sent_at = self.shared.clock.now();
-        let slack = self.shared.settings.limits.hold_slack;
+        let answer_slack = self.shared.settings.limits.hold_slack;
         task::spawn_local(async move {
-            let patience = Duration::from_millis(hold.wait_ms.into()) + slack;
-            let limits = CallLimits { suspect_after: patience, timeout: patience + LATE_REPORT };
+            let answer_timeout = Duration::from_millis(hold.wait_ms.into()) + answer_slack;
+            let limits = CallLimits {
+                suspect_after: answer_timeout,
+                timeout: answer_timeout + LATE_REPORT_TIMEOUT,
+            };
             let mut call = pin!(workers.hold(&entry, &hold, limits));
-            let answer = within(patience, call.as_mut()).await;
+            let answer = within(answer_timeout, call.as_mut()).await;
             let late = answer.is_none();
             let answer = answer.unwrap_or(Err(HoldFailure::Unanswered));
             let event = Event::Held { life, hold, sent_at, answer };
--- a/crates/kitetraild/src/fleet/owner/callers.rs
+++ b/crates/kitetraild/src/fleet/owner/callers.rs
@@ -1,4 +1,4 @@
-//! Takes callers' requests to the owner and answers them.
+//! Handles callers' requests to the owner.
 
 use std::rc::Rc;
 
@@ -15,50 +15,50 @@
     Owner,
 };
 
-/// An owner that did not write for so long does not say that a job is unknown: another owner may have
-/// taken the fleet over meanwhile, which takes 0.4 s at least after the last write, and taken the job.
-/// Usually the last write is some 300 ms old at most.
-const SURE_WITHIN: Duration = Duration::from_millis(400);
+/// An owner whose last write is older than this does not report a job as unknown: another owner may have
+/// taken over the fleet, which happens at least 0.4 s after the last write, and accepted the job. Usually
+/// the last write is at most about 300 ms old.
+const RECENT_WRITE_LIMIT: Duration = Duration::from_millis(400);
 
 impl<P: Platform> Owner<P> {
-    /// Takes a caller's request.
-    pub(super) fn call(&mut self, call: Call, reply: oneshot::Sender<Answer>) {
+    /// Handles a caller's request.
+    pub(super) fn handle_call(&mut self, call: Call, reply: oneshot::Sender<Answer>) {
         let request = RequestNo(self.next_request);
         self.next_request += 1;
         match call {
             Call::Submit { job, queue, spec } => {
-                self.waiting.insert(request, reply);
+                self.waiting_callers.insert(request, reply);
                 let spec = Box::new(Rc::unwrap_or_clone(spec));
                 self.handle(Event::Submit { request, job, queue, spec });
             }
             Call::Cancel { job } => {
-                self.waiting.insert(request, reply);
+                self.waiting_callers.insert(request, reply);
                 self.handle(Event::Cancel { request, job });
             }
             Call::State { job } => {
-                let _ = reply.send(self.state(job));
+                let _ = reply.send(self.state_answer(job));
             }
         }
     }
 
-    /// How a job stands, as far as this owner can tell.
-    fn state(&self, job: JobId) -> Answer {
+    /// Returns the answer to a request for the state of a job.
+    fn state_answer(&self, job: JobId) -> Answer {
         match self.scheduler.state(job) {
             Some(state) => Answer::State(state),
-            None => self.unknown(job),
+            None => self.unknown_job_answer(job),
         }
     }
 
-    /// What is said of a job that this owner does not know.
+    /// Returns the answer for a job that this owner does not know.
     ///
-    /// Each denial is a line: a job that was accepted and is denied later was lost, and the line tells
-    /// by whom and how sure the owner was.
-    pub(super) fn unknown(&self, job: JobId) -> Answer {
-        let owned_ago = self.shared.owned_ago();
-        let sure = owned_ago.is_some_and(|owned_ago| owned_ago <= SURE_WITHIN);
+    /// Each such answer is logged: an accepted job that is later reported as unknown was lost, and the line
+    /// shows which owner answered and whether it was sure.
+    pub(super) fn unknown_job_answer(&self, job: JobId) -> Answer {
+        let confirmed_ago = self.shared.confirmed_owner_ago();
+        let sure = confirmed_ago.is_some_and(|ago| ago <= RECENT_WRITE_LIMIT);
         log::info!(
             job = job.to_string(), epoch = self.shared.claimed_epoch(),
-            owned_ago_ms:? = owned_ago.map(|owned_ago| owned_ago.as_millis()), sure = sure;
+            owned_ago_ms:? = confirmed_ago.map(|ago| ago.as_millis()), sure = sure;
             "job: unknown to the owner"
         );
         match sure {
@@ -67,9 +67,9 @@
         }
     }
 
-    /// Answers a caller who waits, unless it was answered before.
+    /// Answers a waiting caller, unless it was answered before.
     pub(super) fn reply(&mut self, request: RequestNo, answer: Answer) {
-        if let Some(reply) = self.waiting.remove(&request) {
+        if let Some(reply) = self.waiting_callers.remove(&request) {
             let _ = reply.send(answer);
         }
     }
--- a/crates/kitetraild/src/fleet/owner/mod.rs
+++ b/crates/kitetraild/src/fleet/owner/mod.rs
@@ -1,4 +1,4 @@
-//! The owner of the fleet: one loop that feeds the scheduler and does what it asks for.
+//! The owner of the fleet: one loop that passes events to the scheduler and executes its actions.
 
 mod actions;
 mod callers;
@@ -19,59 +19,61 @@
     calls::{Answer, Call},
     committer::Batch,
     shared::Shared,
-    store_doubt::StoreDoubt,
+    store_doubt::StoreProbe,
 };
 use crate::clock::unix_ms;
 
-/// How often time alone is looked at: leases, holds that are due, back-offs. Well below the shortest
+/// The interval of the timer that drives leases, due holds and back-offs. It is well below the shortest
 /// pause between holds, 120 ms.
-const TICK: Duration = Duration::from_millis(20);
-/// How often other parts of the box are told how things stand. What callers are told of jobs that
-/// wait may be 2 s old.
-const PUBLISH_EVERY: Duration = Duration::from_millis(250);
-/// A tick that comes so late tells that the process was held up: what came meanwhile goes first.
-const HELD_UP: Duration = Duration::from_millis(150);
-/// How long an owner goes on without the store. Longer than most outages that the platform tells of
-/// (4 to 5 s); a new owner waits so much longer for workers that live and that it can't reach.
-pub(super) const WITHOUT_STORE: Duration = Duration::from_millis(7_000);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// The interval at which counts are published to other components of the box. Callers may get counts of
+/// waiting jobs that are 2 s old.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(250);
+/// A tick that comes this late means that the process was stalled. Messages that arrived meanwhile are
+/// handled before the tick.
+const STALL_THRESHOLD: Duration = Duration::from_millis(150);
+/// How long an owner continues without confirmation by the store. Longer than most outages that the
+/// platform documents (4 to 5 s). A new owner has to wait that much longer for live workers that it can't
+/// reach.
+pub(super) const MAX_UNCONFIRMED: Duration = Duration::from_millis(7_000);
 
-/// What the owner's loop is told.
+/// A message to the owner's loop.
 #[derive(Debug)]
 pub(super) enum OwnerMessage {
     /// A caller's request.
     Call(Call, oneshot::Sender<Answer>),
-    /// Something happened.
+    /// An event for the scheduler.
     Event(Event),
-    /// A batch is kept.
+    /// A batch was committed.
     Committed(u64),
-    /// Another owner took the fleet over, or must have.
+    /// Another owner took over the fleet, or must take it over; the text is the reason.
     Deposed(&'static str),
-    /// Give the fleet up in order.
+    /// A request to release the fleet in an orderly way.
     Release,
-    /// The store was asked by this box and others: one of them reaches it and this one does not, or
-    /// none.
-    StoreAsked(Option<SocketAddr>),
+    /// The result of asking other boxes for the store: a box that reaches it while this one does not, or
+    /// `None`.
+    StoreProbed(Option<SocketAddr>),
 }
 
-/// What the owner's loop woke up for.
+/// The cause of an iteration of the owner's loop.
 #[derive(Debug)]
-enum WokenBy {
-    /// A message; `None`: nobody can send any more.
+enum WakeCause {
+    /// A message; `None` if the channel is closed.
     Message(Option<OwnerMessage>),
-    /// Time.
+    /// The timer.
     Tick,
 }
 
-/// How an owner ended.
+/// The way in which ownership ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Ended {
-    /// Another owner took over.
+pub(super) enum OwnershipEnd {
+    /// Another owner took over, or the store has not confirmed this one for too long.
     Deposed,
-    /// The box stops, and could not read what the owner before has left.
+    /// The box is stopping and could not read the state that the previous owner left.
     NotRead,
-    /// It gave the fleet up in order.
+    /// It released the fleet in an orderly way.
     Released,
-    /// It does not reach the store and left the fleet to a box that does.
+    /// It can't reach the store and left the fleet to a box that can.
     LeftTo(SocketAddr),
 }
 
@@ -83,29 +85,29 @@
     sender: mpsc::Sender<OwnerMessage>,
     batches: mpsc::Sender<Batch>,
     next_request: u64,
-    /// Callers who handed a job in or cancelled one, and wait for the answer.
-    waiting: HashMap<RequestNo, oneshot::Sender<Answer>>,
-    /// A batch is on its way to the store.
-    unkept: bool,
-    /// Another owner took the fleet over.
+    /// The callers that wait for the answer to a submission or cancellation.
+    waiting_callers: HashMap<RequestNo, oneshot::Sender<Answer>>,
+    /// Whether a batch is being written to the store.
+    commit_in_flight: bool,
+    /// Whether another owner took over the fleet.
     deposed: bool,
-    /// It was told to give the fleet up.
+    /// Whether the fleet is to be released.
     releasing: bool,
-    doubt: StoreDoubt,
-    /// When time alone was looked at last, or would have been.
-    ticked_at: Time,
-    /// When other parts of the box were told last how things stand.
-    published_at: Time,
-    /// Until when the scheduler was told that the store was in trouble.
-    told_trouble_until: Option<Time>,
-    /// The version of the configuration that the scheduler was told.
-    told_config: Option<u64>,
-    /// The revision of the evacuated zones that the scheduler was told.
-    told_evacuations: Option<u64>,
-    /// How many runs are left in evacuated zones, as told last.
-    told_runs_left: u64,
-    /// The last tick was left out because the process had been held up.
-    tick_left_out: bool,
+    store_probe: StoreProbe,
+    /// The time of the last tick, including a skipped one.
+    last_tick_at: Time,
+    /// The time at which counts were last published to other components of the box.
+    last_published_at: Time,
+    /// The end of the store trouble as last passed to the scheduler.
+    sent_trouble_until: Option<Time>,
+    /// The version of the configuration last passed to the scheduler.
+    sent_config: Option<u64>,
+    /// The revision of the evacuated zones last passed to the scheduler.
+    sent_evacuations: Option<u64>,
+    /// The last published number of runs left in evacuated zones.
+    published_runs_left: u64,
+    /// Whether the last tick was skipped because the process had been stalled.
+    tick_skipped: bool,
 }
 
 impl<P: Platform> Owner<P> {
@@ -115,7 +117,7 @@
         (sender, inbox): (mpsc::Sender<OwnerMessage>, mpsc::Receiver<OwnerMessage>),
         batches: mpsc::Sender<Batch>,
     ) -> Self {
-        let ticked_at = shared.clock.now();
+        let last_tick_at = shared.clock.now();
         Self {
             shared,
             scheduler,
@@ -123,150 +125,152 @@
             sender,
             batches,
             next_request: 0,
-            waiting: HashMap::new(),
-            unkept: false,
+            waiting_callers: HashMap::new(),
+            commit_in_flight: false,
             deposed: false,
             releasing: false,
-            doubt: StoreDoubt::default(),
-            ticked_at,
-            published_at: Time::ZERO,
-            told_trouble_until: None,
-            told_config: None,
-            told_evacuations: None,
-            told_runs_left: 0,
-            tick_left_out: false,
+            store_probe: StoreProbe::default(),
+            last_tick_at,
+            last_published_at: Time::ZERO,
+            sent_trouble_until: None,
+            sent_config: None,
+            sent_evacuations: None,
+            published_runs_left: 0,
+            tick_skipped: false,
         }
     }
 
-    /// Owns the fleet until told otherwise.
-    pub(super) async fn run(mut self) -> Ended {
-        let mut ticks = time::interval(TICK);
+    /// Runs the loop until ownership ends.
+    pub(super) async fn run(mut self) -> OwnershipEnd {
+        let mut ticks = time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let woken_by = tokio::select! {
-                message = self.inbox.recv() => WokenBy::Message(message),
-                _ = ticks.tick() => WokenBy::Tick,
+            let wake_cause = tokio::select! {
+                message = self.inbox.recv() => WakeCause::Message(message),
+                _ = ticks.tick() => WakeCause::Tick,
             };
-            self.follow_operators();
-            let taken = match woken_by {
-                WokenBy::Message(Some(message)) => self.take(message),
-                WokenBy::Message(None) => ControlFlow::Break(Ended::Deposed),
-                WokenBy::Tick => self.take_all_and_tick(),
+            self.send_operator_changes();
+            let handled = match wake_cause {
+                WakeCause::Message(Some(message)) => self.handle_message(message),
+                WakeCause::Message(None) => ControlFlow::Break(OwnershipEnd::Deposed),
+                WakeCause::Tick => self.drain_inbox_and_tick(),
             };
-            if let ControlFlow::Break(ended) = taken {
+            if let ControlFlow::Break(ended) = handled {
                 return ended;
             }
             if self.deposed {
-                return Ended::Deposed;
+                return OwnershipEnd::Deposed;
             }
-            if self.releasing && !self.unkept {
-                return Ended::Released;
+            if self.releasing && !self.commit_in_flight {
+                return OwnershipEnd::Released;
             }
         }
     }
 
-    fn take(&mut self, message: OwnerMessage) -> ControlFlow<Ended> {
+    fn handle_message(&mut self, message: OwnerMessage) -> ControlFlow<OwnershipEnd> {
         match message {
             OwnerMessage::Deposed(why) => {
                 log::warn!(why = why; "owner: deposed");
-                return ControlFlow::Break(Ended::Deposed);
+                return ControlFlow::Break(OwnershipEnd::Deposed);
             }
             OwnerMessage::Release => self.releasing = true,
-            OwnerMessage::StoreAsked(Some(_)) if !StoreDoubt::is_due(&self.shared) => {
-                // A write was done meanwhile, on another connection.
-                self.doubt.note_asked(self.shared.clock.now());
+            OwnerMessage::StoreProbed(Some(_)) if !StoreProbe::is_store_suspect(&self.shared) => {
+                // A write was committed meanwhile, on another connection.
+                self.store_probe.record_probe_end(self.shared.clock.now());
             }
-            OwnerMessage::StoreAsked(Some(successor)) => {
+            OwnerMessage::StoreProbed(Some(successor)) => {
                 log::warn!(
-                    peer = successor.to_string(), waits_ms = self.shared.write_waits_ms();
+                    peer = successor.to_string(), waits_ms = self.shared.write_pending_ms();
                     "owner: leaves the fleet to a box that reaches the store"
                 );
-                return ControlFlow::Break(Ended::LeftTo(successor));
+                return ControlFlow::Break(OwnershipEnd::LeftTo(successor));
+            }
+            OwnerMessage::StoreProbed(None) => {
+                self.store_probe.record_probe_end(self.shared.clock.now())
             }
-            OwnerMessage::StoreAsked(None) => self.doubt.note_asked(self.shared.clock.now()),
             OwnerMessage::Call(_, reply) if self.releasing => {
                 let _ = reply.send(Answer::NotOwner);
             }
-            OwnerMessage::Call(call, reply) => self.call(call, reply),
+            OwnerMessage::Call(call, reply) => self.handle_call(call, reply),
             OwnerMessage::Event(event) => {
-                // Entries may go from the list because of it.
-                self.tell_store_trouble();
+                // Workers may be missing from the list because of store trouble.
+                self.send_store_trouble();
                 if !self.handle(event) {
-                    return ControlFlow::Break(Ended::Deposed);
+                    return ControlFlow::Break(OwnershipEnd::Deposed);
                 }
             }
             OwnerMessage::Committed(batch) => {
-                self.unkept = false;
+                self.commit_in_flight = false;
                 self.handle(Event::Committed(batch));
             }
         }
         ControlFlow::Continue(())
     }
 
-    /// Takes what waits, then looks at what time alone changes: an answer that is here already must
-    /// not be taken for missing.
-    fn take_all_and_tick(&mut self) -> ControlFlow<Ended> {
+    /// Handles all waiting messages before the tick, so that an answer that has already arrived is not
+    /// considered missing.
+    fn drain_inbox_and_tick(&mut self) -> ControlFlow<OwnershipEnd> {
         for _ in 0..self.inbox.len() {
             let Ok(message) = self.inbox.try_recv() else { break };
-            self.take(message)?;
+            self.handle_message(message)?;
         }
         let now = self.shared.clock.now();
-        let since_last = now.since(self.ticked_at);
-        let held_up = since_last >= HELD_UP;
-        self.ticked_at = now;
-        if !self.handle(Event::Lagged(since_last.saturating_sub(TICK))) {
-            return ControlFlow::Break(Ended::Deposed);
+        let since_last = now.since(self.last_tick_at);
+        let stalled = since_last >= STALL_THRESHOLD;
+        self.last_tick_at = now;
+        if !self.handle(Event::Lagged(since_last.saturating_sub(TICK_INTERVAL))) {
+            return ControlFlow::Break(OwnershipEnd::Deposed);
         }
-        if held_up && !self.tick_left_out {
-            self.tick_left_out = true;
+        if stalled && !self.tick_skipped {
+            self.tick_skipped = true;
             return ControlFlow::Continue(());
         }
-        self.tick_left_out = false;
+        self.tick_skipped = false;
         self.tick()
     }
 
-    fn tick(&mut self) -> ControlFlow<Ended> {
-        self.tell_store_trouble();
+    fn tick(&mut self) -> ControlFlow<OwnershipEnd> {
+        self.send_store_trouble();
         if !self.handle(Event::Tick) {
-            return ControlFlow::Break(Ended::Deposed);
+            return ControlFlow::Break(OwnershipEnd::Deposed);
         }
         self.shared.own_lag_ms.set(self.scheduler.lag().as_millis() as u64);
         self.shared.publish_status();
         self.publish_if_due();
-        self.doubt.ask_if_due(&self.shared, &self.sender);
-        self.make_way();
+        self.store_probe.probe_if_due(&self.shared, &self.sender);
+        self.yield_to_stronger_box();
         ControlFlow::Continue(())
     }
 
-    /// Gives the fleet up if a box that can carry much more asks how this one stands.
-    fn make_way(&mut self) {
-        let own = self.shared.settings.strength;
+    /// Releases the fleet if a much stronger box pings this one.
+    fn yield_to_stronger_box(&mut self) {
+        let own_strength = self.shared.settings.strength;
         let candidates = self.shared.candidates.borrow();
         if self.releasing {
             return;
         }
-        if let Some(stronger) = candidates.much_stronger(own, self.shared.clock.now()) {
+        if let Some(stronger) = candidates.much_stronger(own_strength, self.shared.clock.now()) {
             log::info!(
-                peer = stronger.to_string(), own = own.to_string();
+                peer = stronger.to_string(), own = own_strength.to_string();
                 "owner: makes way for a stronger box"
             );
             self.releasing = true;
         }
     }
 
-    /// Tells the scheduler until when the store was in trouble, if that is news to it.
-    fn tell_store_trouble(&mut self) {
+    /// Passes the end of the store trouble to the scheduler, if it changed.
+    fn send_store_trouble(&mut self) {
         let until = self.shared.store_trouble_until();
-        if let Some(until) = until.filter(|_| until > self.told_trouble_until) {
-            self.told_trouble_until = Some(until);
+        if let Some(until) = until.filter(|_| until > self.sent_trouble_until) {
+            self.sent_trouble_until = Some(until);
             self.handle(Event::StoreTrouble { until });
         }
     }
 
-    /// Feeds the scheduler and does what it asks for. `false`: deposed.
+    /// Passes an event to the scheduler and executes its actions. Returns `false` if this owner is deposed.
     ///
-    /// An owner that the store has not confirmed for too long decides nothing more, whatever it is told: after it stood still
-    /// answers may wait that are read before time is looked at.
+    /// An owner that the store has not confirmed for too long makes no more decisions on any event: after a suspension,
+    /// waiting answers may be read before the timer is checked.
     fn handle(&mut self, event: Event) -> bool {
         let now = self.shared.clock.now();
         if self.is_unconfirmed_too_long(now) {
@@ -274,58 +278,58 @@
         }
         if !self.deposed {
             let actions = self.scheduler.handle(event, now, unix_ms());
-            self.deposed |= !actions.into_iter().all(|action| self.act(action));
+            self.deposed |= !actions.into_iter().all(|action| self.execute(action));
         }
         !self.deposed
     }
 
     fn is_unconfirmed_too_long(&self, now: Time) -> bool {
-        let confirmed_ago = self.shared.owned_at.get().map(|at| now.since(at));
-        let too_long = confirmed_ago.is_none_or(|ago| ago > WITHOUT_STORE);
+        let confirmed_ago = self.shared.confirmed_owner_at.get().map(|at| now.since(at));
+        let too_long = confirmed_ago.is_none_or(|ago| ago > MAX_UNCONFIRMED);
         if too_long && !self.deposed {
             log::warn!(
                 confirmed_ago_ms:? = confirmed_ago.map(|ago| ago.as_millis());
-                "owner: gives up, the store has not confirmed it"
+                "owner: giving up ownership, the store has not confirmed it in time"
             );
         }
         too_long
     }
 
-    /// Puts in force what operators ask for, where it changed.
+    /// Passes changes of evacuated zones and of the configuration to the scheduler.
     ///
-    /// Compared each time, and not waited for beside messages: a notice that comes together with a message
-    /// would be lost.
-    fn follow_operators(&mut self) {
+    /// Versions are compared in each iteration instead of waiting for a notification: one that arrives together with a
+    /// message would be lost.
+    fn send_operator_changes(&mut self) {
         let evacuations = Some(self.shared.evacuated.revision());
-        if evacuations != self.told_evacuations {
-            self.told_evacuations = evacuations;
+        if evacuations != self.sent_evacuations {
+            self.sent_evacuations = evacuations;
             let zones = self.shared.evacuated.zones();
             self.handle(Event::Evacuated(zones));
         }
-        let config = self.shared.config().filter(|it| Some(it.version) != self.told_config);
+        let config = self.shared.config().filter(|config| Some(config.version) != self.sent_config);
         if let Some(config) = config {
-            self.told_config = Some(config.version);
+            self.sent_config = Some(config.version);
             self.handle(Event::Queues(config.queues()));
         }
     }
 
-    /// Tells other parts of the box how things stand.
+    /// Publishes counts to other components of the box, at most once per interval.
     fn publish_if_due(&mut self) {
         let now = self.shared.clock.now();
-        if now.since(self.published_at) >= PUBLISH_EVERY {
-            self.published_at = now;
+        if now.since(self.last_published_at) >= PUBLISH_INTERVAL {
+            self.last_published_at = now;
             self.publish();
         }
     }
 
     fn publish(&mut self) {
         let runs_left = self.scheduler.runs_in_evacuated_zones();
-        if runs_left != self.told_runs_left {
-            self.told_runs_left = runs_left;
+        if runs_left != self.published_runs_left {
+            self.published_runs_left = runs_left;
             self.shared.metrics.note_evacuated_runs_left(runs_left);
         }
         let counts = self.scheduler.pending_by_queue();
         let counts = counts.into_iter().map(|(queue, count)| (queue.to_string(), count));
-        self.shared.note_pending(counts);
+        self.shared.record_pending(counts);
     }
 }
--- a/crates/kitetraild/src/fleet/ownership.rs
+++ b/crates/kitetraild/src/fleet/ownership.rs
@@ -1,4 +1,4 @@
-//! Watches the owner of the fleet and tells when it is lost.
+//! Watches the owner of the fleet and takes over when it is lost.
 
 use std::{
     net::SocketAddr,
@@ -13,110 +13,110 @@
 
 use super::{
     Platform,
-    owner::WITHOUT_STORE,
+    owner::MAX_UNCONFIRMED,
     peers,
     rows::{self, HeadRow, OwnerRow},
     shared::{OwnerView, Shared},
     takeover::{self, Claim, Predecessor},
 };
 
-/// How often the owner is asked how it stands: see `docs/design/platform.md`, "Ownership".
+/// The interval between pings to the owner: see `docs/design/platform.md`, "Ownership".
 pub(super) const PING_EVERY: Duration = Duration::from_millis(400);
-/// An owner that does not answer, and has written nothing for so long, is taken for lost: more
-/// than two of its heartbeats.
-const LOST_AFTER: Duration = Duration::from_millis(800);
-/// The same for an owner whose box answers that nothing listens there: more than one heartbeat.
-const LOST_AFTER_REFUSAL: Duration = Duration::from_millis(400);
-/// An owner that said that it lags is left so many times its lag longer: it answers and writes late, and a
-/// takeover costs another box, as slow, a question to each worker.
-const PATIENCE_PER_LAG: u32 = 4;
-/// But no longer than this: with the time until it is doubted and a takeover, its workers' leases, 4 s, just
-/// run out if it is gone after all.
-const LONGEST_LATE_PATIENCE: Duration = Duration::from_millis(2_000);
-/// How long other boxes leave the place to the one that the owner left it to: it takes some 100 ms.
+/// An owner that does not answer pings is considered lost after it has not written for this long:
+/// more than two of its heartbeats.
+const SILENT_OWNER_TIMEOUT: Duration = Duration::from_millis(800);
+/// The same limit for an owner whose host refuses connections: more than one heartbeat.
+const REFUSED_OWNER_TIMEOUT: Duration = Duration::from_millis(400);
+/// The limit for a lagging owner is extended by this multiple of the lag it reported: it answers and writes late, and a
+/// takeover would make another box, equally slow, query every worker.
+const LAG_EXTENSION_FACTOR: u32 = 4;
+/// The longest extension for a lagging owner. Together with the time until it is suspected and a takeover, its
+/// workers' leases of 4 s only just expire if the owner is in fact gone.
+const MAX_LAG_EXTENSION: Duration = Duration::from_millis(2_000);
+/// How long other boxes wait for the designated successor to take over, which takes about 100 ms.
 const SUCCESSOR_WAIT: Duration = Duration::from_millis(400);
-/// An owner that has not reached the store for so long, in milliseconds, is taken for lost if others
-/// reach it: see `docs/design/platform.md`, "Ownership".
-const STORE_SILENT_MS: u64 = 1_200;
-/// How often the owner's last write is read while the owner is in doubt: more than once in the
-/// shortest wait, [`LOST_AFTER_REFUSAL`].
-const READ_EVERY: Duration = Duration::from_millis(180);
-/// How long to wait after a call to the store that failed.
+/// An owner that has not reached the store for this long, in milliseconds, is considered lost if others
+/// reach the store: see `docs/design/platform.md`, "Ownership".
+const STORE_SILENT_LIMIT_MS: u64 = 1_200;
+/// The interval at which the owner's last write is read while the owner is suspected: more than once
+/// within the shortest limit, [`REFUSED_OWNER_TIMEOUT`].
+const HEAD_POLL_INTERVAL: Duration = Duration::from_millis(180);
+/// The delay after a call to the store that failed.
 pub(super) const RETRY: Duration = Duration::from_millis(150);
 
-/// What is to be done about the owner.
+/// The assessed state of the owner. It decides whether, and after what time, the owner is replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Verdict {
-    /// It owns the fleet and does its work.
+enum OwnerState {
+    /// It owns the fleet and is working.
     Fine,
-    /// It certainly renews no leases any more.
+    /// It certainly renews no more leases.
     Stopped,
-    /// It may be lost: nothing listens where it answered.
+    /// It may be lost: its address refuses connections.
     Refused,
-    /// It may be lost.
+    /// It may be lost: it does not answer, or can't reach the store.
     Silent,
 }
 
-/// Watches the owner, and owns the fleet when it is this box's turn, until the box stops.
+/// Watches the owner, and takes over the fleet when it is lost, until the box stops.
 pub(super) async fn run<P: Platform>(shared: Rc<Shared<P>>) {
     loop {
-        match watch_owner(&shared).await {
+        match check_owner(&shared).await {
             Ok(Some(claim)) => {
-                takeover::own(&shared, claim).await;
-                shared.claim_epoch(0);
+                takeover::run_as_owner(&shared, claim).await;
+                shared.set_claimed_epoch(0);
             }
             Ok(None) => {
                 let _ = time::timeout(PING_EVERY, shared.follow_asked.notified()).await;
             }
             Err(error) => {
-                log::debug!("owner: can't be told: {error}");
+                log::debug!("owner: failed to check the owner: {error}");
                 time::sleep(RETRY).await;
             }
         }
     }
 }
 
-/// Looks at the owner once. Returns a claim if this box should take over.
-async fn watch_owner<P: Platform>(shared: &Rc<Shared<P>>) -> Result<Option<Claim>, PlatformError> {
-    let asked = shared.asked_to_follow.get() >= shared.owner().epoch.max(1);
-    if !asked && believed_owner_is_fine(shared).await {
+/// Checks the owner once. Returns a claim if this box should take over.
+async fn check_owner<P: Platform>(shared: &Rc<Shared<P>>) -> Result<Option<Claim>, PlatformError> {
+    let takeover_requested = shared.asked_to_follow.get() >= shared.owner().epoch.max(1);
+    if !takeover_requested && known_owner_is_fine(shared).await {
         return Ok(None);
     }
     let Some((owner, version)) = rows::read_owner(shared).await? else {
         let head_version = rows::read_head(shared).await?.map_or(0, |(_, version)| version);
-        return Ok(claim(shared, None, head_version, Duration::ZERO));
+        return Ok(new_claim(shared, None, head_version, Duration::ZERO));
     };
     let address = Some(owner.address).filter(|_| !owner.released);
-    shared.offer_owner(OwnerView { epoch: owner.epoch, address }, "store");
-    let verdict = judge(shared, &owner).await;
-    let patience = match verdict {
-        Verdict::Fine => return Ok(None),
-        Verdict::Stopped => Duration::ZERO,
-        Verdict::Refused => LOST_AFTER_REFUSAL,
-        Verdict::Silent => LOST_AFTER + late_patience(shared),
+    shared.adopt_owner(OwnerView { epoch: owner.epoch, address }, "store");
+    let verdict = assess(shared, &owner).await;
+    let timeout = match verdict {
+        OwnerState::Fine => return Ok(None),
+        OwnerState::Stopped => Duration::ZERO,
+        OwnerState::Refused => REFUSED_OWNER_TIMEOUT,
+        OwnerState::Silent => SILENT_OWNER_TIMEOUT + lag_extension(shared),
     };
     log::info!(epoch = owner.epoch, verdict:? = verdict; "owner: suspected");
-    let LastWrite::Unmoved(head) = last_write(shared, &owner, patience).await? else {
+    let LastWrite::Unchanged(head) = watch_last_write(shared, &owner, timeout).await? else {
         return Ok(None);
     };
-    if leaves_to_others(shared, &owner, version).await? {
+    if yield_to_other_boxes(shared, &owner, version).await? {
         return Ok(None);
     }
     let earlier_renew_for_ms = head.and_then(|(head, _)| head.earlier_renew_for_ms);
-    let earlier_renew_for = earlier_renew_for_ms.map_or(WITHOUT_STORE, Duration::from_millis);
+    let earlier_renew_for = earlier_renew_for_ms.map_or(MAX_UNCONFIRMED, Duration::from_millis);
     let head_version = head.map_or(0, |(_, version)| version);
-    // What refuses connections may be the way to the owner, not its end.
-    let last = Predecessor { row: owner, version, stopped: verdict == Verdict::Stopped };
-    Ok(claim(shared, Some(last), head_version, earlier_renew_for))
+    // A refused connection may come from the network path, and does not prove that the owner stopped.
+    let predecessor = Predecessor { row: owner, version, stopped: verdict == OwnerState::Stopped };
+    Ok(new_claim(shared, Some(predecessor), head_version, earlier_renew_for))
 }
 
-/// How much longer an owner that said that it is late is left without a sign of life.
-fn late_patience<P: Platform>(shared: &Shared<P>) -> Duration {
-    shared.owner_lag().saturating_mul(PATIENCE_PER_LAG).min(LONGEST_LATE_PATIENCE)
+/// Returns how much the limit without writes is extended for an owner that reported lag.
+fn lag_extension<P: Platform>(shared: &Shared<P>) -> Duration {
+    shared.owner_lag().saturating_mul(LAG_EXTENSION_FACTOR).min(MAX_LAG_EXTENSION)
 }
 
-/// Waits where others should come first; whether one of them did.
-async fn leaves_to_others<P: Platform>(
+/// Waits if other boxes have precedence, and returns whether one of them took over.
+async fn yield_to_other_boxes<P: Platform>(
     shared: &Rc<Shared<P>>,
     owner: &OwnerRow,
     version: u64,
@@ -137,36 +137,36 @@
     Ok(found.is_some_and(|(_, found)| found != version))
 }
 
-/// Asks the owner that this box believes in how it stands.
-async fn believed_owner_is_fine<P: Platform>(shared: &Rc<Shared<P>>) -> bool {
+/// Pings the owner that this box knows and returns whether it is working.
+async fn known_owner_is_fine<P: Platform>(shared: &Rc<Shared<P>>) -> bool {
     let view = shared.owner();
-    let other = view.address.filter(|&address| address != shared.settings.listen.peers);
-    let Some(address) = other else { return false };
+    let other_address = view.address.filter(|&address| address != shared.settings.listen.peers);
+    let Some(address) = other_address else { return false };
     let Ok(answer) = ping(shared, address).await else { return false };
-    note_ping(shared, address, &answer).await;
-    answer.owns_epoch == view.epoch && answer.store_silent_ms < STORE_SILENT_MS
+    process_ping_answer(shared, address, &answer).await;
+    answer.owns_epoch == view.epoch && answer.store_silent_ms < STORE_SILENT_LIMIT_MS
 }
 
-/// Whether an owner certainly renews no leases any more, by what its box answers.
+/// Pings an owner's box and returns whether that owner certainly renews no more leases.
 pub(super) async fn has_stopped<P: Platform>(shared: &Rc<Shared<P>>, owner: &OwnerRow) -> bool {
-    judge(shared, owner).await == Verdict::Stopped
+    assess(shared, owner).await == OwnerState::Stopped
 }
 
-/// Asks the owner that the store names how it stands.
-async fn judge<P: Platform>(shared: &Rc<Shared<P>>, owner: &OwnerRow) -> Verdict {
-    // This box, which does not own the fleet now, or an earlier life of it. Incarnations alone
-    // don't tell: boxes that start together may draw the same one.
-    let asked = shared.asked_to_follow.get() == owner.epoch;
-    if owner.released || asked || owner.address == shared.settings.listen.peers {
-        return Verdict::Stopped;
+/// Assesses the owner named in the store by pinging it.
+async fn assess<P: Platform>(shared: &Rc<Shared<P>>, owner: &OwnerRow) -> OwnerState {
+    // The address is that of this box, which does not own the fleet now, so the owner was an earlier
+    // process of it. Incarnations alone are not enough: boxes that start together may have the same one.
+    let takeover_requested = shared.asked_to_follow.get() == owner.epoch;
+    if owner.released || takeover_requested || owner.address == shared.settings.listen.peers {
+        return OwnerState::Stopped;
     }
     match ping(shared, owner.address).await {
-        Ok(answer) if answer.incarnation != owner.incarnation => Verdict::Stopped,
-        Ok(answer) if answer.owns_epoch != owner.epoch => Verdict::Stopped,
-        Ok(answer) if answer.store_silent_ms < STORE_SILENT_MS => Verdict::Fine,
-        Ok(_) => Verdict::Silent,
-        Err(status) if status.code() == Code::Unavailable => Verdict::Refused,
-        Err(_) => Verdict::Silent,
+        Ok(answer) if answer.incarnation != owner.incarnation => OwnerState::Stopped,
+        Ok(answer) if answer.owns_epoch != owner.epoch => OwnerState::Stopped,
+        Ok(answer) if answer.store_silent_ms < STORE_SILENT_LIMIT_MS => OwnerState::Fine,
+        Ok(_) => OwnerState::Silent,
+        Err(status) if status.code() == Code::Unavailable => OwnerState::Refused,
+        Err(_) => OwnerState::Silent,
     }
 }
 
@@ -187,57 +187,64 @@
     shared.peers.ping(address, request).await
 }
 
-/// Learns from what the owner said of itself, and tells it a newer configuration.
-async fn note_ping<P: Platform>(shared: &Rc<Shared<P>>, address: SocketAddr, answer: &PingAnswer) {
+/// Records what the owner reported, and exchanges configurations if the versions differ.
+async fn process_ping_answer<P: Platform>(
+    shared: &Rc<Shared<P>>,
+    address: SocketAddr,
+    answer: &PingAnswer,
+) {
     shared.note_told_owner(answer.epoch, &answer.owner_address);
     if answer.owns_epoch != 0 {
-        shared.note_pending(answer.pending.clone().into_iter());
-        shared.note_owner_lag(Duration::from_millis(answer.lag_ms));
+        shared.record_pending(answer.pending.clone().into_iter());
+        shared.record_owner_lag(Duration::from_millis(answer.lag_ms));
     }
     let version = shared.config_version();
     let exchanged = match answer.config_version {
-        theirs if theirs > version => {
+        owner_version if owner_version > version => {
             let fetched = shared.peers.fetch_config(address).await;
             fetched.map(|config| peers::take_config(shared, &config))
         }
-        theirs if theirs < version => {
+        owner_version if owner_version < version => {
             shared.peers.offer_config(address, peers::encode_config(shared)).await
         }
         _ => Ok(()),
     };
     if let Err(status) = exchanged {
-        log::debug!(peer = address.to_string(); "config: can't be exchanged: {status}");
+        log::debug!(
+            peer = address.to_string();
+            "config: failed to exchange it with the owner: {status}"
+        );
     }
 }
 
-/// What was seen of the owner's last write over some time.
+/// The result of watching the owner's last write for some time.
 enum LastWrite {
-    /// The owner has written.
-    Moved,
-    /// It stayed this one, with its version, if there is any. Only an owner that writes nothing more after it may be
-    /// replaced, so a takeover depends on this version, however long it waits for other boxes.
-    Unmoved(Option<(HeadRow, u64)>),
+    /// The owner wrote again.
+    Changed,
+    /// The owner wrote nothing, and this is its last write with its version, if there is any. Only an owner that writes
+    /// nothing after it may be replaced, so a takeover depends on this version, however long it waits for other boxes.
+    Unchanged(Option<(HeadRow, u64)>),
 }
 
-/// Looks for some time whether the owner writes, unless it asks this box to follow it.
-async fn last_write<P: Platform>(
+/// Watches for some time whether the owner writes. Ends early if the owner asks this box to take over.
+async fn watch_last_write<P: Platform>(
     shared: &Rc<Shared<P>>,
     owner: &OwnerRow,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<LastWrite, PlatformError> {
     let first = rows::read_head(shared).await?;
     let started = Instant::now();
-    while started.elapsed() < patience && shared.asked_to_follow.get() != owner.epoch {
-        time::sleep(READ_EVERY).await;
+    while started.elapsed() < timeout && shared.asked_to_follow.get() != owner.epoch {
+        time::sleep(HEAD_POLL_INTERVAL).await;
         if rows::read_head(shared).await? != first {
-            return Ok(LastWrite::Moved);
+            return Ok(LastWrite::Changed);
         }
     }
-    Ok(LastWrite::Unmoved(first))
+    Ok(LastWrite::Unchanged(first))
 }
 
-/// What a takeover needs to know; `None` if this box is stopping.
-fn claim<P: Platform>(
+/// Returns a claim to take over; `None` if this box is stopping.
+fn new_claim<P: Platform>(
     shared: &Shared<P>,
     predecessor: Option<Predecessor>,
     head_version: u64,
--- a/crates/kitetraild/src/fleet/predecessor.rs
+++ b/crates/kitetraild/src/fleet/predecessor.rs
@@ -1,4 +1,4 @@
-//! Learns that the owner before has stopped after all, so that nobody waits for leases that it might have renewed.
+//! Detects that the previous owner has stopped, so that the scheduler need not wait for leases that it might have renewed.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -13,9 +13,9 @@
     takeover::Claim,
 };
 
-/// Asks the box of the owner before until it is certain that it stopped, or has been without the store for too long.
+/// Pings the previous owner's box until that owner has certainly stopped, or has been without the store for too long.
 ///
-/// A process that was killed is back within seconds, and answers as another one.
+/// A killed process is restarted within seconds and then answers with another incarnation.
 pub(super) async fn watch<P: Platform>(
     shared: Rc<Shared<P>>,
     claim: Claim,
--- a/crates/kitetraild/src/fleet/rows.rs
+++ b/crates/kitetraild/src/fleet/rows.rs
@@ -1,4 +1,4 @@
-//! The rows that boxes keep in the store: their names and what they hold.
+//! The names and contents of the rows that boxes keep in the store.
 
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc};
 
@@ -14,32 +14,34 @@
 
 use super::{Platform, shared::Shared};
 
-/// The part of every table that holds the fleet's rows: one owner, one part, one transaction.
-pub(super) const PART: &str = "fleet-0";
-/// Who owns the fleet. Changes with the owner alone, so that watching it is cheap.
-pub(super) const OWNERS: &str = "kt-owner";
-/// The number of the owner's last write. Every write of the owner depends on it.
-pub(super) const HEADS: &str = "kt-head";
-/// Accepted jobs.
-pub(super) const JOBS: &str = "kt-jobs";
-/// How far they are.
-pub(super) const PROGRESS: &str = "kt-progress";
-/// Workers' lives on which tasks may run.
-pub(super) const LIVES: &str = "kt-lives";
-/// What was learned of how images disturb each other.
-pub(super) const EFFECTS: &str = "kt-effects";
-
-/// Who owns the fleet.
+/// The partition of every table that holds the fleet's rows. A single partition lets the owner write
+/// them in one transaction.
+pub(super) const PARTITION: &str = "fleet-0";
+/// The table of the owner row. It changes only with the owner, so that watching it is cheap.
+pub(super) const OWNER_TABLE: &str = "kt-owner";
+/// The table of the head row, which holds the number of the owner's last write. Every write of the
+/// owner depends on it.
+pub(super) const HEAD_TABLE: &str = "kt-head";
+/// The table of accepted jobs.
+pub(super) const JOBS_TABLE: &str = "kt-jobs";
+/// The table of the jobs' progress.
+pub(super) const PROGRESS_TABLE: &str = "kt-progress";
+/// The table of worker incarnations on which tasks may run.
+pub(super) const INCARNATIONS_TABLE: &str = "kt-lives";
+/// The table of the learned interference between images.
+pub(super) const EFFECTS_TABLE: &str = "kt-effects";
+
+/// The owner of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct OwnerRow {
     pub(super) epoch: u64,
     pub(super) box_name: String,
     pub(super) incarnation: u64,
-    /// Where the owner answers other boxes.
+    /// The address where the owner answers other boxes.
     pub(super) address: SocketAddr,
-    /// It gave the fleet up in order: nothing of it is on its way any more.
+    /// Whether it released the fleet in an orderly way, so that none of its writes or orders are in flight.
     pub(super) released: bool,
-    /// The box that it left the fleet to, if it did.
+    /// The box that it released the fleet to, if any.
     #[serde(default)]
     pub(super) successor: Option<SocketAddr>,
     /// The greatest strength of any owner so far.
@@ -52,49 +54,53 @@
 pub(super) struct HeadRow {
     pub(super) epoch: u64,
     pub(super) write: u64,
-    /// How long owners before this one may go on to renew leases, as of this write. Absent in rows of earlier releases.
+    /// How long earlier owners may continue to renew leases, as of this write. Absent in rows of earlier releases.
     #[serde(default)]
     pub(super) earlier_renew_for_ms: Option<u64>,
 }
 
 pub(super) fn owner_row() -> RowName {
-    row(OWNERS, "owner")
+    row(OWNER_TABLE, "owner")
 }
 
 pub(super) fn head_row() -> RowName {
-    row(HEADS, "head")
+    row(HEAD_TABLE, "head")
 }
 
 pub(super) fn effects_row() -> RowName {
-    row(EFFECTS, "effects")
+    row(EFFECTS_TABLE, "effects")
 }
 
 pub(super) fn job_row(job: &str) -> RowName {
-    row(JOBS, job)
+    row(JOBS_TABLE, job)
 }
 
 pub(super) fn progress_row(job: &str) -> RowName {
-    row(PROGRESS, job)
+    row(PROGRESS_TABLE, job)
 }
 
 /// Adds a record to a transaction.
-pub(super) fn add(
+pub(super) fn add_record(
     transaction: &mut RowTransaction,
     record: &Record,
 ) -> Result<(), serde_json::Error> {
     match record {
-        Record::Job(JobRecord { id, .. }) => put(transaction, job_row(&id.to_string()), record),
+        Record::Job(JobRecord { id, .. }) => {
+            put_record(transaction, job_row(&id.to_string()), record)
+        }
         Record::Progress(ProgressRecord { id, .. }) => {
-            put(transaction, progress_row(&id.to_string()), record)
+            put_record(transaction, progress_row(&id.to_string()), record)
         }
         Record::DropJob(id) => {
             transaction.removes.push(job_row(&id.to_string()));
             Ok(())
         }
-        Record::LifeUsed(life) => put(transaction, row(LIVES, &life.key().to_string()), record),
-        Record::Effects(_) => put(transaction, effects_row(), record),
+        Record::LifeUsed(life) => {
+            put_record(transaction, row(INCARNATIONS_TABLE, &life.key().to_string()), record)
+        }
+        Record::Effects(_) => put_record(transaction, effects_row(), record),
         Record::LifeOver(life) => {
-            transaction.removes.push(row(LIVES, &life.to_string()));
+            transaction.removes.push(row(INCARNATIONS_TABLE, &life.to_string()));
             Ok(())
         }
         Record::Forget(id) => {
@@ -104,24 +110,24 @@
     }
 }
 
-/// Reads what a row holds.
+/// Decodes the value of a row.
 pub(super) fn decode<T: DeserializeOwned>(row: &StoredRow) -> Result<T, serde_json::Error> {
     serde_json::from_slice(&row.value)
 }
 
-/// Reads what rows hold, by their keys. Those that can't be read are left out.
+/// Decodes rows, by their keys. Rows that can't be decoded are logged and skipped.
 pub(super) fn decode_all<T: DeserializeOwned>(rows: &[StoredRow]) -> BTreeMap<String, T> {
     let decode = |row: &StoredRow| {
         let decoded = decode(row).map(|value| (row.key.clone(), value));
         let key = row.key.as_str();
         decoded
-            .inspect_err(|error| log::error!(key = key; "store: a row can't be read: {error}"))
+            .inspect_err(|error| log::error!(key = key; "store: failed to decode a row: {error}"))
             .ok()
     };
     rows.iter().filter_map(decode).collect()
 }
 
-/// Reads a row from the store, with its version; `None` if it is absent.
+/// Reads a row from the store, with its version. Returns `None` if it is absent.
 pub(super) async fn read<P: Platform, T: DeserializeOwned>(
     shared: &Rc<Shared<P>>,
     name: &RowName,
@@ -133,21 +139,21 @@
     Ok(Some((value, row.version)))
 }
 
-/// Who owns the fleet as the store says, with the version of that row; `None` if nobody ever did.
+/// Reads the owner row, with its version. Returns `None` if the fleet never had an owner.
 pub(super) async fn read_owner<P: Platform>(
     shared: &Rc<Shared<P>>,
 ) -> Result<Option<(OwnerRow, u64)>, PlatformError> {
     read(shared, &owner_row()).await
 }
 
-/// The owner's last write, with the version of its row; `None` if nothing was ever written.
+/// Reads the head row, with its version. Returns `None` if nothing was ever written.
 pub(super) async fn read_head<P: Platform>(
     shared: &Rc<Shared<P>>,
 ) -> Result<Option<(HeadRow, u64)>, PlatformError> {
     read(shared, &head_row()).await
 }
 
-/// A value as a row holds it.
+/// Encodes a value of a row.
 pub(super) fn encode(value: &impl Serialize) -> Result<Vec<u8>, PlatformError> {
     serde_json::to_vec(value).map_err(malformed)
 }
@@ -156,7 +162,7 @@
     PlatformError::Malformed { service: "store", cause: error.to_string() }
 }
 
-fn put(
+fn put_record(
     transaction: &mut RowTransaction,
     name: RowName,
     record: &Record,
@@ -173,5 +179,5 @@
 }
 
 fn row(table: &'static str, key: &str) -> RowName {
-    RowName { table, part: PART.to_owned(), key: key.to_owned() }
+    RowName { table, part: PARTITION.to_owned(), key: key.to_owned() }
 }
--- a/crates/kitetraild/src/fleet/run.rs
+++ b/crates/kitetraild/src/fleet/run.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a box together and stops them in order.
+//! Starts the components of a box and shuts them down in order.
 
 use std::{
     io,
@@ -32,22 +32,22 @@
     metrics::Metrics,
 };
 
-/// How long a box that is told to stop still takes new connections: the platform notices within
-/// two of its questions, a second apart, that it should give it none.
-const TAKE_CONNECTIONS: Duration = Duration::from_millis(2_600);
-/// How often a box that is told to stop looks whether it is done.
-const LOOK: Duration = Duration::from_millis(50);
-/// How often the log says how many lines it left out, if any.
-const TELL_LEFT_OUT_EVERY: Duration = Duration::from_millis(1_000);
-/// The two clocks of a machine that runs are read one after the other, some microseconds apart; a pause that others notice is
-/// longer than this.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(100);
-/// How often the answers to the platform's question and to other boxes are brought up to date.
-const READY_EVERY: Duration = Duration::from_millis(100);
+/// How long a stopping box still accepts new connections. The platform detects the stop within two
+/// readiness probes, one second apart.
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2_600);
+/// The interval at which a stopping box checks whether it can end.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// The interval of reports of dropped log lines.
+const DROPPED_LINES_REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
+/// The shortest difference between the two clocks that counts as a suspension. They are read some microseconds apart, and
+/// a suspension that others notice is longer than this.
+const MIN_SUSPENSION: Duration = Duration::from_millis(100);
+/// The interval at which the readiness answer to the platform and the status for other boxes are refreshed.
+const STATUS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs a box until it is told to stop.
+/// Runs a box until it receives a signal to stop.
 ///
-/// `left_out` tells how many lines its log left out.
+/// `left_out` counts the log lines that were dropped.
 pub fn run<P: Platform>(
     settings: FleetSettings,
     services: Services<P>,
@@ -55,18 +55,18 @@
 ) -> Result<(), DaemonError> {
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|cause| io_error("the runtime can't be started", cause))?;
-    runtime.block_on(LocalSet::new().run_until(run_parts(settings, services, left_out)))
+    runtime.block_on(LocalSet::new().run_until(run_components(settings, services, left_out)))
 }
 
-async fn run_parts<P: Platform>(
+async fn run_components<P: Platform>(
     settings: FleetSettings,
     services: Services<P>,
     left_out: LeftOut,
 ) -> Result<(), DaemonError> {
     let metrics = Metrics::new()?;
     metrics.show_silences(services.silences.clone());
-    let mut terminate = watch(SignalKind::terminate())?;
-    let mut hang_up = watch(SignalKind::hangup())?;
+    let mut terminate = watch_signal(SignalKind::terminate())?;
+    let mut hangup = watch_signal(SignalKind::hangup())?;
     let callers = settings.listen.callers;
     let listener = TcpListener::bind(callers).await;
     let listener = listener
@@ -76,15 +76,15 @@
     let shared = Shared::new(settings, services, Clock::start(), incarnation(), metrics);
     log::info!(
         name = shared.settings.box_name.as_str(), incarnation = shared.incarnation;
-        "daemon: starts, takes requests on {callers}"
+        "daemon: started, accepting requests on {callers}"
     );
-    spawn_parts(&shared, listener, ready);
-    task::spawn_local(tell_left_out(Rc::clone(&shared), left_out));
+    spawn_components(&shared, listener, ready);
+    task::spawn_local(report_dropped_lines(Rc::clone(&shared), left_out));
     loop {
         tokio::select! {
-            _ = hang_up.recv() => {
-                // Where the platform is, and what it promises, holds for the life of a process.
-                log::info!("daemon: told that its settings changed; those of its start hold");
+            _ = hangup.recv() => {
+                // The platform's address and its promises can't change while a process runs.
+                log::info!("daemon: SIGHUP ignored, settings are read only at startup");
             }
             _ = terminate.recv() => break,
         }
@@ -93,75 +93,77 @@
     Ok(())
 }
 
-fn spawn_parts<P: Platform>(shared: &Rc<Shared<P>>, listener: TcpListener, ready: ReadyFlag) {
+fn spawn_components<P: Platform>(shared: &Rc<Shared<P>>, listener: TcpListener, ready: ReadyFlag) {
     task::spawn_local(peers::serve(Rc::clone(shared)));
     task::spawn_local(config_watch::run(Rc::clone(shared)));
     task::spawn_local(ownership::run(Rc::clone(shared)));
     task::spawn_local(front::accept(Rc::clone(shared), listener));
-    task::spawn_local(keep_ready(Rc::clone(shared), ready));
+    task::spawn_local(publish_readiness(Rc::clone(shared), ready));
 }
 
-/// Counts the lines that the log left out, and says so in it.
-async fn tell_left_out<P: Platform>(shared: Rc<Shared<P>>, left_out: LeftOut) {
-    let mut told = 0;
+/// Counts the dropped log lines and reports them in the log.
+async fn report_dropped_lines<P: Platform>(shared: Rc<Shared<P>>, left_out: LeftOut) {
+    let mut reported = 0;
     loop {
-        time::sleep(TELL_LEFT_OUT_EVERY).await;
+        time::sleep(DROPPED_LINES_REPORT_INTERVAL).await;
         let lines = left_out.lines();
-        if lines > told {
-            shared.metrics.note_log_lines_left_out(lines - told);
-            log::warn!(lines = lines - told, in_all = lines; "log: lines were left out");
-            told = lines;
+        if lines > reported {
+            shared.metrics.note_log_lines_left_out(lines - reported);
+            log::warn!(lines = lines - reported, in_all = lines; "log: lines were left out");
+            reported = lines;
         }
     }
 }
 
-async fn keep_ready<P: Platform>(shared: Rc<Shared<P>>, ready: ReadyFlag) {
+async fn publish_readiness<P: Platform>(shared: Rc<Shared<P>>, ready: ReadyFlag) {
     let mut suspended = Duration::ZERO;
     loop {
-        suspended = tell_suspension(&shared, suspended);
+        suspended = report_suspension(&shared, suspended);
         if ready.swap(shared.is_ready(), Ordering::Relaxed) != shared.is_ready() {
-            log::info!(ready = shared.is_ready(); "daemon: takes new connections, or not");
+            log::info!(ready = shared.is_ready(); "daemon: readiness changed");
         }
         shared.publish_status();
-        time::sleep(READY_EVERY).await;
+        time::sleep(STATUS_INTERVAL).await;
     }
 }
 
-/// Says that the machine was suspended, if it was since a look that found it suspended for so long in all.
-fn tell_suspension<P: Platform>(shared: &Rc<Shared<P>>, before: Duration) -> Duration {
+/// Reports a suspension of the machine since the last check, which measured `before` in total. Returns
+/// the new total.
+fn report_suspension<P: Platform>(shared: &Rc<Shared<P>>, before: Duration) -> Duration {
     let suspended = shared.clock.suspended();
-    let lately = suspended.saturating_sub(before);
-    if lately < LEAST_SUSPENSION {
+    let since_last_check = suspended.saturating_sub(before);
+    if since_last_check < MIN_SUSPENSION {
         return before;
     }
     shared.metrics.note_suspension();
     log::warn!(
-        suspended_ms = lately.as_millis() as u64, owns = shared.local_owner.borrow().is_some();
+        suspended_ms = since_last_check.as_millis() as u64,
+        owns = shared.local_owner.borrow().is_some();
         "daemon: its machine was suspended"
     );
     suspended
 }
 
-/// Gives the fleet up, finishes what is in progress, and returns.
+/// Releases the fleet, finishes the requests in progress, and returns.
 async fn stop<P: Platform>(shared: &Rc<Shared<P>>) {
     let started = Instant::now();
     log::info!(in_progress = shared.in_progress.get(); "daemon: stopping");
-    let latest = shared.settings.stop_within;
-    shared.ends_at.set(Some(started + latest));
+    let time_limit = shared.settings.stop_within;
+    shared.ends_at.set(Some(started + time_limit));
     shared.draining.set(true);
-    takeover::give_up(shared).await;
+    takeover::release_if_owner(shared).await;
     loop {
-        time::sleep(LOOK).await;
+        time::sleep(STOP_POLL_INTERVAL).await;
         let (waited, busy) = (started.elapsed(), shared.in_progress.get() > 0);
         let owns = shared.local_owner.borrow().is_some();
-        if waited >= latest || (waited >= TAKE_CONNECTIONS && !busy && !owns) {
+        if waited >= time_limit || (waited >= ACCEPT_AFTER_STOP && !busy && !owns) {
             break;
         }
     }
     log::info!(in_progress = shared.in_progress.get(); "daemon: stopped");
 }
 
-fn watch(kind: SignalKind) -> Result<Signal, DaemonError> {
+fn watch_signal(kind: SignalKind) -> Result<Signal, DaemonError> {
     signal(kind).map_err(|cause| io_error("signals can't be watched", cause))
 }
 
--- a/crates/kitetraild/src/fleet/shared.rs
+++ b/crates/kitetraild/src/fleet/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of one box share: all on one thread.
+//! The state that the components of one box share, all on one thread.
 
 use std::{
     cell::{Cell, RefCell},
@@ -23,38 +23,38 @@
 };
 use crate::{clock::Clock, metrics::Metrics};
 
-/// The statuses by which a store says that it can't serve now: too many requests, and unavailable.
-/// Any other refusal shows that it is at work.
+/// The HTTP statuses of a store that can't serve requests now: too many requests, and unavailable.
+/// Any other refusal shows that it is working.
 const BUSY_STATUSES: [u16; 2] = [429, 503];
 
-/// How long counts of jobs that wait are told on: callers may be told counts that are 2 s old.
-const PENDING_HOLDS_FOR: Duration = Duration::from_millis(2_000);
+/// The age up to which counts of waiting jobs are used: callers may get counts that are 2 s old.
+const MAX_PENDING_AGE: Duration = Duration::from_millis(2_000);
 
-/// How long what the owner says of its lag is believed. It is asked every 0.4 s; one answer that is lost and
-/// one that is late fit in.
-const LAG_HOLDS_FOR: Duration = Duration::from_millis(1_500);
+/// The age up to which the lag reported by the owner is used. The owner is pinged every 0.4 s, so one lost answer
+/// and one late answer fit into this time.
+const MAX_LAG_AGE: Duration = Duration::from_millis(1_500);
 
-/// Who owns the fleet, as far as this box knows.
+/// The owner of the fleet, as far as this box knows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct OwnerView {
     pub(super) epoch: u64,
-    /// Where the owner answers other boxes.
+    /// The address where the owner answers other boxes.
     pub(super) address: Option<SocketAddr>,
 }
 
 impl OwnerView {
-    /// What another box tells of the owner.
+    /// Creates the view that another box reports.
     pub(super) fn told(epoch: u64, address: &str) -> Self {
         Self { epoch, address: address.parse().ok() }
     }
 
-    /// The address as it is written to other boxes and to the log; empty if there is none.
+    /// Returns the address as it is sent to other boxes and logged. It is empty if there is none.
     pub(super) fn address_text(&self) -> String {
         self.address.map(|address| address.to_string()).unwrap_or_default()
     }
 }
 
-/// What the parts of one box share.
+/// The state that the components of one box share.
 pub(super) struct Shared<P: Platform> {
     pub(super) settings: FleetSettings,
     pub(super) services: Services<P>,
@@ -64,44 +64,46 @@
     pub(super) metrics: Metrics,
     pub(super) peers: PeerClients,
     config: RefCell<Option<Rc<FleetConfig>>>,
-    /// The zones that operators have evacuated.
+    /// The zones evacuated by operators.
     pub(super) evacuated: EvacuatedZones,
     owner: Cell<OwnerView>,
     pub(super) owner_changed: Notify,
     /// The owner's inbox, while this box owns the fleet.
     pub(super) local_owner: RefCell<Option<mpsc::Sender<OwnerMessage>>>,
-    /// The epoch that this box owns the fleet in, or has just asked the store for; 0: neither.
+    /// The epoch in which this box owns the fleet or has just claimed it; 0 if neither.
     ///
-    /// Set before the store is asked: other boxes may read the row before its answer is here.
+    /// It is set before the claim is sent to the store: other boxes may read the row before the answer
+    /// arrives.
     claimed_epoch: Cell<u64>,
-    /// Accepted jobs that have not begun, by queue, as the owner told last, and when that was.
+    /// The last reported numbers of accepted jobs that have not begun, by queue, and the time of the report.
     pending: RefCell<Option<(BTreeMap<String, u64>, Time)>>,
-    /// How this box stands, as told to others.
+    /// The status of this box as reported to others.
     pub(super) status: BoxStatus,
-    /// How far this box lags behind its events as the owner, in milliseconds; 0 while it is none.
+    /// How far this box as the owner lags behind its events, in milliseconds; 0 if it is not the owner.
     pub(super) own_lag_ms: Cell<u64>,
-    /// How far the owner said that it lags, and when.
-    told_lag: Cell<Option<(Duration, Time)>>,
-    /// The boxes that ask this one how it stands: those that could own the fleet after it.
+    /// The lag that the owner last reported, and the time of the report.
+    reported_owner_lag: Cell<Option<(Duration, Time)>>,
+    /// The boxes that ping this one, and so could own the fleet after it.
     pub(super) candidates: RefCell<Candidates<SocketAddr>>,
-    /// The epoch of an owner that has stopped and asked this box to follow it; 0: none.
+    /// The epoch of an owner that has stopped and asked this box to take over; 0 if none.
     pub(super) asked_to_follow: Cell<u64>,
     pub(super) follow_asked: Notify,
-    /// This box owned the fleet at this moment for certain: a write of its own was done after it.
-    pub(super) owned_at: Cell<Option<Time>>,
-    /// Since when a write of the owner waits for the store.
-    pub(super) writes_since: Cell<Option<Time>>,
-    /// When the store answered last.
-    store_heard_at: Cell<Time>,
-    /// The last call to the store brought no answer.
-    store_lost: Cell<bool>,
-    /// When the store answered again after a call that brought no answer.
-    store_regained_at: Cell<Option<Time>>,
-    /// The box was told to stop.
+    /// The latest time at which this box certainly owned the fleet: the start of a write that was
+    /// committed.
+    pub(super) confirmed_owner_at: Cell<Option<Time>>,
+    /// The time since which a write of the owner has been pending in the store.
+    pub(super) write_pending_since: Cell<Option<Time>>,
+    /// The time of the store's last answer.
+    store_answered_at: Cell<Time>,
+    /// Whether the last call to the store got no answer.
+    store_unreachable: Cell<bool>,
+    /// The time at which the store answered again after a call that got no answer.
+    store_recovered_at: Cell<Option<Time>>,
+    /// Whether the box was asked to stop.
     pub(super) draining: Cell<bool>,
-    /// When it ends at the latest, once it was told to stop.
+    /// The latest time at which the box ends, once it was asked to stop.
     pub(super) ends_at: Cell<Option<Instant>>,
-    /// Requests of callers that are not answered yet.
+    /// The number of callers' requests that are not answered yet.
     pub(super) in_progress: Cell<usize>,
 }
 
@@ -130,33 +132,33 @@
             pending: RefCell::default(),
             status: BoxStatus::new(incarnation),
             own_lag_ms: Cell::new(0),
-            told_lag: Cell::new(None),
+            reported_owner_lag: Cell::new(None),
             candidates: RefCell::default(),
             asked_to_follow: Cell::new(0),
             follow_asked: Notify::new(),
-            owned_at: Cell::new(None),
-            writes_since: Cell::new(None),
-            store_heard_at: Cell::new(clock.now()),
-            store_lost: Cell::new(false),
-            store_regained_at: Cell::new(None),
+            confirmed_owner_at: Cell::new(None),
+            write_pending_since: Cell::new(None),
+            store_answered_at: Cell::new(clock.now()),
+            store_unreachable: Cell::new(false),
+            store_recovered_at: Cell::new(None),
             draining: Cell::new(false),
             ends_at: Cell::new(None),
             in_progress: Cell::new(0),
         })
     }
 
-    /// The epoch that this box owns the fleet in, or has just asked the store for; 0: neither.
+    /// Returns the epoch in which this box owns the fleet or has just claimed it; 0 if neither.
     pub(super) fn claimed_epoch(&self) -> u64 {
         self.claimed_epoch.get()
     }
 
-    /// Sets that epoch, and tells it to others from now on.
-    pub(super) fn claim_epoch(&self, epoch: u64) {
+    /// Sets the claimed epoch, and reports it to other boxes from now on.
+    pub(super) fn set_claimed_epoch(&self, epoch: u64) {
         self.claimed_epoch.set(epoch);
         self.status.publish_epoch(epoch);
     }
 
-    /// Leaves for others how this box stands.
+    /// Publishes the status of this box for other boxes.
     pub(super) fn publish_status(&self) {
         let owner = self.owner();
         let owns_epoch = self.claimed_epoch.get();
@@ -183,7 +185,7 @@
         self.config.borrow().as_ref().map_or(0, |config| config.version)
     }
 
-    /// Puts a configuration in force if it is newer than the one in force.
+    /// Applies a configuration if it is newer than the current one.
     pub(super) fn offer_config(&self, config: FleetConfig, source: &'static str) {
         let before = self.config_version();
         if self.config.borrow().is_some() && config.version <= before {
@@ -197,7 +199,7 @@
         *self.config.borrow_mut() = Some(Rc::new(config));
     }
 
-    /// Takes note of what a call told of zones to evacuate, that began at a moment.
+    /// Records the evacuation requests returned by a call that began at `asked_at`.
     pub(super) fn note_evacuations(
         &self,
         source: Source,
@@ -214,8 +216,8 @@
         self.owner.get()
     }
 
-    /// Believes in an owner if its epoch is higher than that of the one believed in.
-    pub(super) fn offer_owner(&self, view: OwnerView, source: &'static str) {
+    /// Adopts a reported owner unless its epoch is lower than that of the known one.
+    pub(super) fn adopt_owner(&self, view: OwnerView, source: &'static str) {
         let before = self.owner.get();
         if view.epoch < before.epoch || view == before {
             return;
@@ -230,48 +232,49 @@
         self.owner_changed.notify_waiters();
     }
 
-    /// Takes note of the owner that another box tells of.
+    /// Records the owner that another box reports.
     pub(super) fn note_told_owner(&self, epoch: u64, address: &str) {
         self.note_told_view(OwnerView::told(epoch, address));
     }
 
-    /// The same, for a view that was read already.
+    /// Records the owner that another box reports, as a parsed view.
     pub(super) fn note_told_view(&self, told: OwnerView) {
         if told.epoch > self.owner().epoch && told.address.is_some() {
-            self.offer_owner(told, "peer");
+            self.adopt_owner(told, "peer");
         }
     }
 
-    /// How many accepted jobs of a queue have not begun; `None` if the owner told none of late.
+    /// Returns the number of accepted jobs of a queue that have not begun; `None` if the owner has not
+    /// reported counts recently.
     pub(super) fn pending_of(&self, queue: &str) -> Option<u64> {
         let pending = self.pending.borrow();
-        let (counts, told_at) = pending.as_ref()?;
-        let fresh = self.clock.now().since(*told_at) <= PENDING_HOLDS_FOR;
+        let (counts, reported_at) = pending.as_ref()?;
+        let fresh = self.clock.now().since(*reported_at) <= MAX_PENDING_AGE;
         fresh.then(|| counts.get(queue).copied().unwrap_or(0))
     }
 
-    /// All counts that the owner told last.
+    /// Returns all counts that the owner last reported.
     pub(super) fn pending(&self) -> BTreeMap<String, u64> {
         self.pending.borrow().as_ref().map(|(counts, _)| counts.clone()).unwrap_or_default()
     }
 
-    /// Takes note of what the owner told.
-    pub(super) fn note_pending(&self, counts: impl Iterator<Item = (String, u64)>) {
+    /// Records the counts that the owner reports.
+    pub(super) fn record_pending(&self, counts: impl Iterator<Item = (String, u64)>) {
         *self.pending.borrow_mut() = Some((counts.collect(), self.clock.now()));
     }
 
-    /// How far the owner lags behind its events, as it said of late.
+    /// Returns how far the owner lags behind its events, by its last recent report.
     pub(super) fn owner_lag(&self) -> Duration {
-        let fresh = |(_, at): &(Duration, Time)| self.clock.now().since(*at) <= LAG_HOLDS_FOR;
-        self.told_lag.get().filter(fresh).map(|(lag, _)| lag).unwrap_or_default()
+        let fresh = |(_, at): &(Duration, Time)| self.clock.now().since(*at) <= MAX_LAG_AGE;
+        self.reported_owner_lag.get().filter(fresh).map(|(lag, _)| lag).unwrap_or_default()
     }
 
-    /// Takes note of how far the owner says that it lags.
-    pub(super) fn note_owner_lag(&self, lag: Duration) {
-        self.told_lag.set(Some((lag, self.clock.now())));
+    /// Records the lag that the owner reports.
+    pub(super) fn record_owner_lag(&self, lag: Duration) {
+        self.reported_owner_lag.set(Some((lag, self.clock.now())));
     }
 
-    /// Takes note of what a call to the store brought.
+    /// Records whether a call to the store got an answer.
     pub(super) fn note_store<T>(&self, result: &Result<T, PlatformError>) {
         let answered = match result {
             Ok(_) => true,
@@ -279,14 +282,14 @@
             Err(_) => false,
         };
         if answered {
-            self.store_heard_at.set(self.clock.now());
+            self.store_answered_at.set(self.clock.now());
         }
-        if self.store_lost.get() == answered {
-            self.store_lost.set(!answered);
+        if self.store_unreachable.get() == answered {
+            self.store_unreachable.set(!answered);
             let cause = result.as_ref().err().map(ToString::to_string).unwrap_or_default();
             match answered {
                 true => {
-                    self.store_regained_at.set(Some(self.clock.now()));
+                    self.store_recovered_at.set(Some(self.clock.now()));
                     log::info!("store: regained");
                 }
                 false => log::warn!(cause = cause.as_str(); "store: lost"),
@@ -294,36 +297,36 @@
         }
     }
 
-    /// Until when calls to the store brought no answer: the present while they bring none.
+    /// Returns the time until which calls to the store got no answer: the present while they get none.
     pub(super) fn store_trouble_until(&self) -> Option<Time> {
-        match self.store_lost.get() {
+        match self.store_unreachable.get() {
             true => Some(self.clock.now()),
-            false => self.store_regained_at.get(),
+            false => self.store_recovered_at.get(),
         }
     }
 
-    /// How long ago this box owned the fleet for certain.
-    pub(super) fn owned_ago(&self) -> Option<Duration> {
-        self.owned_at.get().map(|at| self.clock.now().since(at))
+    /// Returns how long ago this box certainly owned the fleet.
+    pub(super) fn confirmed_owner_ago(&self) -> Option<Duration> {
+        self.confirmed_owner_at.get().map(|at| self.clock.now().since(at))
     }
 
-    /// How long a write of the owner has waited for the store, in milliseconds.
-    pub(super) fn write_waits_ms(&self) -> u64 {
+    /// Returns how long a write of the owner has been pending in the store, in milliseconds.
+    pub(super) fn write_pending_ms(&self) -> u64 {
         let now = self.clock.now();
-        self.writes_since.get().map_or(0, |since| now.since(since).as_millis() as u64)
+        self.write_pending_since.get().map_or(0, |since| now.since(since).as_millis() as u64)
     }
 
-    /// How long ago this box started, in milliseconds.
+    /// Returns the uptime of this box, in milliseconds.
     pub(super) fn up_ms(&self) -> u64 {
         self.clock.now().since(self.started_at).as_millis() as u64
     }
 
-    /// How long the store has not answered, in milliseconds.
+    /// Returns the time since the store's last answer, in milliseconds.
     pub(super) fn store_silent_ms(&self) -> u64 {
-        self.clock.now().since(self.store_heard_at.get()).as_millis() as u64
+        self.clock.now().since(self.store_answered_at.get()).as_millis() as u64
     }
 
-    /// Whether the platform may give this box new connections.
+    /// Returns whether the platform may route new connections to this box.
     pub(super) fn is_ready(&self) -> bool {
         !self.draining.get() && self.config.borrow().is_some()
     }
--- a/crates/kitetraild/src/fleet/takeover.rs
+++ b/crates/kitetraild/src/fleet/takeover.rs
@@ -1,4 +1,4 @@
-//! Takes the fleet over, owns it, and gives it up in order.
+//! Takes over ownership of the fleet, runs the owner, and releases ownership on shutdown.
 
 use std::{
     cell::Cell,
@@ -22,7 +22,7 @@
     Platform,
     committer::{Batch, Committer, HEARTBEAT},
     evacuation,
-    owner::{Ended, Owner, OwnerMessage, WITHOUT_STORE},
+    owner::{MAX_UNCONFIRMED, Owner, OwnerMessage, OwnershipEnd},
     ownership::RETRY,
     predecessor,
     rows::{self, HeadRow, OwnerRow},
@@ -32,85 +32,89 @@
 };
 use crate::clock::unix_ms;
 
-/// How many messages to the owner may wait.
-const INBOX: usize = 8_192;
-/// How many batches may wait for the writer: the scheduler makes the next one after an answer.
-const BATCHES: usize = 1;
-/// How long an owner that gives the fleet up waits for its writer: two heartbeats. A little later
-/// other boxes take it for lost anyway.
-const LAST_WRITE_LIMIT: Duration = HEARTBEAT.saturating_mul(2);
-/// How long the box that follows may take to say so. Longer than it takes itself.
-const FOLLOW_LIMIT: Duration = Duration::from_millis(1_000);
+/// The capacity of the owner's message queue.
+const INBOX_CAPACITY: usize = 8_192;
+/// The capacity of the writer's batch queue. One is enough: the scheduler creates a batch only
+/// after the previous one is committed.
+const BATCH_QUEUE_CAPACITY: usize = 1;
+/// How long a releasing owner waits for its writer: two heartbeats. Shortly after that, other boxes
+/// consider it lost anyway.
+const LAST_WRITE_TIMEOUT: Duration = HEARTBEAT.saturating_mul(2);
+/// The timeout of the request to the successor to take over. Longer than the successor's own limit
+/// for answering.
+const TAKE_OVER_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The owner that a takeover replaces.
+/// The owner that is replaced in a takeover.
 pub(super) struct Predecessor {
     pub(super) row: OwnerRow,
     pub(super) version: u64,
-    /// It certainly renews no leases any more.
+    /// Whether it certainly renews no more leases.
     pub(super) stopped: bool,
 }
 
-/// What a takeover replaces: rows with their versions.
+/// The state that a takeover replaces, with the row versions it depends on.
 pub(super) struct Claim {
     pub(super) predecessor: Option<Predecessor>,
     pub(super) head_version: u64,
-    /// How long owners before the predecessor may go on to renew leases.
+    /// How long owners before the predecessor may continue to renew leases.
     pub(super) earlier_renew_for: Duration,
 }
 
 impl Claim {
-    /// The owners before, as of a moment after the claim was kept.
+    /// Returns the earlier owners, as of a time after the claim was committed.
     fn earlier_owners(&self, now: Time) -> EarlierOwners {
-        let stopped = self.predecessor.as_ref().is_none_or(|it| it.stopped);
-        EarlierOwners::new(self.earlier_renew_for, stopped, WITHOUT_STORE, now)
+        let stopped = self.predecessor.as_ref().is_none_or(|predecessor| predecessor.stopped);
+        EarlierOwners::new(self.earlier_renew_for, stopped, MAX_UNCONFIRMED, now)
     }
 }
 
-/// Takes the fleet over, if nobody else is quicker, and owns it until it is lost or given up.
-pub(super) async fn own<P: Platform>(shared: &Rc<Shared<P>>, claim: Claim) {
+/// Takes over the fleet, unless another box does so first, and owns it until ownership is lost or released.
+pub(super) async fn run_as_owner<P: Platform>(shared: &Rc<Shared<P>>, claim: Claim) {
     let started = Instant::now();
-    let (row, version) = match take(shared, &claim).await {
-        Ok(Some(taken)) => taken,
+    let (row, version) = match acquire(shared, &claim).await {
+        Ok(Some(acquired)) => acquired,
         Ok(None) => return,
         Err(error) => {
-            log::warn!("owner: the fleet can't be taken over: {error}");
+            log::warn!("owner: failed to take over the fleet: {error}");
             return time::sleep(RETRY).await;
         }
     };
-    let ended = serve(shared, &row, version, claim, started).await;
+    let ended = run_owner(shared, &row, version, claim, started).await;
     *shared.local_owner.borrow_mut() = None;
     log::info!(epoch = row.epoch, ended:? = ended; "owner: owns the fleet no more");
 }
 
-/// Reads what the owner before has left, however often that fails; `None` if this box is stopping.
-async fn load_until_read<P: Platform>(shared: &Rc<Shared<P>>) -> Option<Inheritance> {
+/// Reads the state that the previous owner left, retrying until it succeeds. Returns `None` if this
+/// box is stopping.
+async fn load_with_retries<P: Platform>(shared: &Rc<Shared<P>>) -> Option<Inheritance> {
     loop {
         match load(shared).await {
             Ok(inheritance) => return Some(inheritance),
             Err(error) if shared.draining.get() => {
-                log::warn!("owner: stops before it could read the jobs: {error}");
+                log::warn!("owner: stopping before the jobs could be read: {error}");
                 return None;
             }
             Err(error) => {
-                log::warn!("owner: the jobs can't be read: {error}");
+                log::warn!("owner: failed to read the jobs: {error}");
                 time::sleep(RETRY).await;
             }
         }
     }
 }
 
-/// Runs the owner and its helpers until the fleet is lost or given up.
+/// Runs the owner and its helper tasks until ownership is lost or released.
 ///
-/// It writes from the start, also while it reads what was kept: the store's answers tell it that it owns the fleet still.
-async fn serve<P: Platform>(
+/// The writer runs from the start, also while the stored state is read: successful writes confirm
+/// that this box still owns the fleet.
+async fn run_owner<P: Platform>(
     shared: &Rc<Shared<P>>,
     row: &OwnerRow,
     head_version: u64,
     claim: Claim,
     started: Instant,
-) -> Ended {
-    let (sender, inbox) = mpsc::channel(INBOX);
-    let (batches, to_write) = mpsc::channel(BATCHES);
+) -> OwnershipEnd {
+    let (sender, inbox) = mpsc::channel(INBOX_CAPACITY);
+    let (batches, to_write) = mpsc::channel(BATCH_QUEUE_CAPACITY);
     let earlier_owners = Rc::new(Cell::new(claim.earlier_owners(shared.clock.now())));
     let committer = Committer::new(
         Rc::clone(shared),
@@ -120,7 +124,7 @@
         sender.clone(),
     );
     let mut committer = task::spawn_local(committer.run(to_write));
-    let ended = match inherit(shared).await {
+    let ended = match load_inheritance(shared).await {
         Some(mut inheritance) => {
             inheritance.leases_renewed_for = earlier_owners.get().may_renew_for(shared.clock.now());
             log::info!(
@@ -131,80 +135,84 @@
             let watch =
                 predecessor::watch(Rc::clone(shared), claim, earlier_owners, sender.clone());
             let watch = task::spawn_local(watch);
-            let ended = decide(shared, row, inheritance, (sender, inbox), batches).await;
+            let ended = run_scheduler(shared, row, inheritance, (sender, inbox), batches).await;
             watch.abort();
             ended
         }
-        None => Ended::NotRead,
+        None => OwnershipEnd::NotRead,
     };
     match ended {
-        Ended::Released => {
-            // The batches' channel is closed: the writer ends after what it has in hand.
-            let _ = time::timeout(LAST_WRITE_LIMIT, &mut committer).await;
+        OwnershipEnd::Released => {
+            // The batch channel is closed, so the writer ends after its current batch.
+            let _ = time::timeout(LAST_WRITE_TIMEOUT, &mut committer).await;
             committer.abort();
-            let successor = successor(shared);
-            release(shared, row, successor).await;
+            let successor = choose_successor(shared);
+            release_fleet(shared, row, successor).await;
             if let Some(successor) = successor {
-                ask_to_follow(shared, successor, row.epoch).await;
+                request_takeover(shared, successor, row.epoch).await;
             }
         }
-        Ended::LeftTo(successor) => {
+        OwnershipEnd::LeftTo(successor) => {
             committer.abort();
-            ask_to_follow(shared, successor, row.epoch).await;
+            request_takeover(shared, successor, row.epoch).await;
         }
-        Ended::Deposed | Ended::NotRead => committer.abort(),
+        OwnershipEnd::Deposed | OwnershipEnd::NotRead => committer.abort(),
     }
-    shared.writes_since.set(None);
-    shared.owned_at.set(None);
+    shared.write_pending_since.set(None);
+    shared.confirmed_owner_at.set(None);
     shared.own_lag_ms.set(0);
     shared.metrics.note_evacuated_runs_left(0);
     ended
 }
 
-/// What the owner before has left, once all that an owner has to know is known; `None` if this box is stopping.
-async fn inherit<P: Platform>(shared: &Rc<Shared<P>>) -> Option<Inheritance> {
-    let inheritance = load_until_read(shared).await?;
-    evacuation::until_known(shared).await.then_some(inheritance)
+/// Loads the state that the previous owner left and waits until the evacuated zones are known.
+/// Returns `None` if this box is stopping.
+async fn load_inheritance<P: Platform>(shared: &Rc<Shared<P>>) -> Option<Inheritance> {
+    let inheritance = load_with_retries(shared).await?;
+    evacuation::wait_until_known(shared).await.then_some(inheritance)
 }
 
-/// Decides for the fleet until it is lost or given up.
-async fn decide<P: Platform>(
+/// Runs the scheduler until ownership is lost or released.
+async fn run_scheduler<P: Platform>(
     shared: &Rc<Shared<P>>,
     row: &OwnerRow,
     inheritance: Inheritance,
     (sender, inbox): (mpsc::Sender<OwnerMessage>, mpsc::Receiver<OwnerMessage>),
     batches: mpsc::Sender<Batch>,
-) -> Ended {
-    let scheduler = scheduler(shared, row.epoch, inheritance);
+) -> OwnershipEnd {
+    let scheduler = new_scheduler(shared, row.epoch, inheritance);
     let watcher = task::spawn_local(workers_watch::run(Rc::clone(shared), sender.clone()));
     *shared.local_owner.borrow_mut() = Some(sender.clone());
-    shared.offer_owner(OwnerView { epoch: row.epoch, address: Some(row.address) }, "self");
+    shared.adopt_owner(OwnerView { epoch: row.epoch, address: Some(row.address) }, "self");
     let ended = Owner::new(Rc::clone(shared), scheduler, (sender, inbox), batches).run().await;
     watcher.abort();
     ended
 }
 
-/// The best box to follow this one.
-fn successor<P: Platform>(shared: &Shared<P>) -> Option<SocketAddr> {
+/// Returns the best box to own the fleet after this one.
+fn choose_successor<P: Platform>(shared: &Shared<P>) -> Option<SocketAddr> {
     shared.candidates.borrow().successors(shared.clock.now()).into_iter().next()
 }
 
-/// Asks a box to own the fleet, now that this one has stopped, and learns whether it does.
-async fn ask_to_follow<P: Platform>(shared: &Shared<P>, successor: SocketAddr, epoch: u64) {
+/// Asks a box to take over the fleet, now that this one has stopped, and records the new owner.
+async fn request_takeover<P: Platform>(shared: &Shared<P>, successor: SocketAddr, epoch: u64) {
     let peer = successor.to_string();
-    match shared.peers.take_over(successor, epoch, FOLLOW_LIMIT).await {
+    match shared.peers.take_over(successor, epoch, TAKE_OVER_TIMEOUT).await {
         Ok(answer) => {
             log::info!(peer = peer, epoch = epoch, by = answer.epoch; "owner: followed");
             shared.note_told_owner(answer.epoch, &answer.owner_address);
         }
         Err(status) => {
-            log::warn!(peer = peer, epoch = epoch; "owner: can't ask a box to follow: {status}");
+            log::warn!(
+                peer = peer, epoch = epoch;
+                "owner: failed to ask a box to take over: {status}"
+            );
         }
     }
 }
 
-/// The scheduler of an epoch, with what the owner before has left.
-fn scheduler<P: Platform>(
+/// Creates the scheduler of an epoch from the state that the previous owner left.
+fn new_scheduler<P: Platform>(
     shared: &Rc<Shared<P>>,
     epoch: u64,
     inheritance: Inheritance,
@@ -218,16 +226,16 @@
     Scheduler::new(settings, epoch, inheritance, now, unix_ms())
 }
 
-/// Writes that this box owns the fleet. `None`: somebody else was quicker.
-async fn take<P: Platform>(
+/// Writes this box as the owner of the fleet to the store. Returns `None` if another box was first.
+async fn acquire<P: Platform>(
     shared: &Rc<Shared<P>>,
     claim: &Claim,
 ) -> Result<Option<(OwnerRow, u64)>, PlatformError> {
     let owner = claim.predecessor.as_ref();
-    let (epoch, version) = owner.map_or((0, 0), |it| (it.row.epoch, it.version));
-    let strongest = owner.map(|it| it.row.strongest).unwrap_or_default();
-    let row = own_row(shared, epoch + 1, strongest);
-    shared.claim_epoch(row.epoch);
+    let (epoch, version) = owner.map_or((0, 0), |owner| (owner.row.epoch, owner.version));
+    let strongest = owner.map(|owner| owner.row.strongest).unwrap_or_default();
+    let row = new_owner_row(shared, epoch + 1, strongest);
+    shared.set_claimed_epoch(row.epoch);
     shared.asked_to_follow.set(0);
     let earlier = claim.earlier_owners(Time::ZERO).may_renew_for(Time::ZERO);
     let earlier_renew_for_ms = Some(earlier.as_millis() as u64);
@@ -245,20 +253,22 @@
     shared.note_store(&answer);
     match answer? {
         TransactionAnswer::Done { version } => {
-            shared.owned_at.set(Some(began_at));
+            shared.confirmed_owner_at.set(Some(began_at));
             Ok(Some((row, version)))
         }
         TransactionAnswer::Conflict { rows } => {
-            // An earlier try, whose answer was lost, may have done it.
-            let ours = rows.iter().find(|it| rows::decode(it).ok().as_ref() == Some(&row));
-            shared.owned_at.set(ours.map(|_| began_at));
-            Ok(ours.map(|it| (row.clone(), it.version)))
+            // An earlier attempt whose answer was lost may have succeeded.
+            let own_write =
+                rows.iter().find(|found| rows::decode(found).ok().as_ref() == Some(&row));
+            shared.confirmed_owner_at.set(own_write.map(|_| began_at));
+            Ok(own_write.map(|found| (row.clone(), found.version)))
         }
     }
 }
 
-/// This box as the owner of an epoch, after owners of the given strength at most.
-fn own_row<P: Platform>(shared: &Shared<P>, epoch: u64, strongest: BoxStrength) -> OwnerRow {
+/// Returns the owner row of this box for an epoch, where `strongest` is the greatest strength of the
+/// owners so far.
+fn new_owner_row<P: Platform>(shared: &Shared<P>, epoch: u64, strongest: BoxStrength) -> OwnerRow {
     OwnerRow {
         epoch,
         box_name: shared.settings.box_name.clone(),
@@ -270,8 +280,8 @@
     }
 }
 
-/// Writes that the fleet may be taken over at once, by a box or by any.
-async fn release<P: Platform>(
+/// Writes that the fleet may be taken over at once, by the successor if one is given, otherwise by any box.
+async fn release_fleet<P: Platform>(
     shared: &Rc<Shared<P>>,
     row: &OwnerRow,
     successor: Option<SocketAddr>,
@@ -279,11 +289,11 @@
     let strongest = shared.candidates.borrow().strongest(shared.clock.now()).max(row.strongest);
     let released = OwnerRow { released: true, successor, strongest, ..row.clone() };
     if let Err(error) = write_release(shared, row, &released).await {
-        log::warn!(epoch = row.epoch; "owner: can't say that the fleet is free: {error}");
+        log::warn!(epoch = row.epoch; "owner: failed to release the fleet: {error}");
     }
 }
 
-/// Writes that, unless another owner is named there by now.
+/// Writes the released row, unless the owner row has changed.
 async fn write_release<P: Platform>(
     shared: &Rc<Shared<P>>,
     row: &OwnerRow,
@@ -299,12 +309,12 @@
     shared.services.store.transact(&transaction).await.map(|_| ())
 }
 
-/// Reads what the owner before has left.
+/// Reads the state that the previous owner left.
 async fn load<P: Platform>(shared: &Rc<Shared<P>>) -> Result<Inheritance, PlatformError> {
-    // One after the other: all share the box's link.
-    let lives = scan::part(shared, rows::LIVES).await?;
-    let progress = scan::part(shared, rows::PROGRESS).await?;
-    let jobs = scan::part(shared, rows::JOBS).await?;
+    // Read one table after the other, since they share the box's link.
+    let lives = scan::read_table(shared, rows::INCARNATIONS_TABLE).await?;
+    let progress = scan::read_table(shared, rows::PROGRESS_TABLE).await?;
+    let jobs = scan::read_table(shared, rows::JOBS_TABLE).await?;
     let mut progress = rows::decode_all::<ProgressRecord>(&progress);
     let mut inheritance = Inheritance {
         effects: load_effects(shared).await?,
@@ -315,27 +325,33 @@
         inheritance.jobs.push((job, progress.remove(&key)));
     }
     inheritance.ended = progress.into_values().collect();
-    for lost in inheritance.ended.iter().filter(|it| it.outcome == Outcome::Open) {
-        log::error!(job = lost.id.to_string(); "owner: what an open job asked for can't be read");
+    for unreadable in inheritance.ended.iter().filter(|progress| progress.outcome == Outcome::Open)
+    {
+        log::error!(
+            job = unreadable.id.to_string();
+            "owner: the specification of an open job can't be read"
+        );
     }
     Ok(inheritance)
 }
 
-/// What the owner before has learned of images; nothing if that can't be read, since it is learned
-/// anew within seconds.
+/// Reads what the previous owner learned about images. Returns an empty record if the row can't be
+/// decoded, since the scheduler relearns it within seconds.
 async fn load_effects<P: Platform>(shared: &Rc<Shared<P>>) -> Result<EffectsRecord, PlatformError> {
     match rows::read::<_, EffectsRecord>(shared, &rows::effects_row()).await {
         Ok(effects) => Ok(effects.map(|(effects, _)| effects).unwrap_or_default()),
         Err(error @ PlatformError::Malformed { .. }) => {
-            log::error!("owner: what was learned of images can't be read and is left: {error}");
+            log::error!(
+                "owner: the learned effects of images can't be decoded and are discarded: {error}"
+            );
             Ok(EffectsRecord::default())
         }
         Err(error) => Err(error),
     }
 }
 
-/// Gives the fleet up in order, if this box owns it.
-pub(super) async fn give_up<P: Platform>(shared: &Rc<Shared<P>>) {
+/// Releases the fleet in an orderly way, if this box owns it.
+pub(super) async fn release_if_owner<P: Platform>(shared: &Rc<Shared<P>>) {
     let owner = shared.local_owner.borrow().clone();
     if let Some(owner) = owner {
         let _ = owner.send(OwnerMessage::Release).await;
