--- a/crates/kitetrail-core/tests/jobs_two_owners.rs
+++ b/crates/kitetrail-core/tests/jobs_two_owners.rs
@@ -1,4 +1,4 @@
-//! Two owners at once: one was succeeded and does not know.
+//! Two owners at the same time: one was replaced and has not yet detected it.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 mod fleet;
@@ -10,10 +10,10 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// A fleet of six workers, of which the owner reaches the first three alone from now on and its successor the others.
+/// Partitions a fleet of six workers: the owner reaches only the first three, and its successor only the others.
 ///
-/// The owner has been cut off for 2 s as the successor takes over.
-fn cut_in_two(world: &mut World, in_flight: InFlight) {
+/// The owner has been cut off from the store for 2 s when the successor takes over.
+fn partition(world: &mut World, in_flight: InFlight) {
     let (near, beyond) = (["w0", "w1", "w2"], ["w3", "w4", "w5"]);
     world.store_down = true;
     world.cut_from = beyond.map(str::to_owned).into();
@@ -23,8 +23,8 @@
     world.take_over_beside(2, in_flight, &beyond);
 }
 
-/// The cut heals.
-fn heal(world: &mut World) {
+/// Ends the partition.
+fn end_partition(world: &mut World) {
     world.cut_from.clear();
     if let Some(predecessor) = &mut world.predecessor {
         predecessor.cut_from.clear();
@@ -34,71 +34,71 @@
 }
 
 #[test]
-fn an_owner_that_was_succeeded_starts_nothing_that_its_successor_heard_end() {
-    // The fleet panics if a task is started after an end that was taken note of.
+fn a_replaced_owner_starts_no_task_whose_end_its_successor_recorded() {
+    // The fleet panics if a task is started after its end was recorded.
     let mut world = World::new(6);
     world.work_ms = Some(4_000);
     world.submit(1, job(vec![step(18)]));
     world.run_until("all tasks run", |world| world.starts.len() == 18);
-    cut_in_two(&mut world, InFlight::Lost);
+    partition(&mut world, InFlight::Lost);
     world.run_ms(5_500);
-    heal(&mut world);
-    world.run_until("it completes", |world| world.state(1) == Some(JobState::Completed));
+    end_partition(&mut world);
+    world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
     assert_eq!(world.starts.len(), 18, "each task ran once");
 }
 
 #[test]
-fn an_owner_that_was_succeeded_starts_nothing_that_runs_on_under_its_successor() {
-    // The fleet panics if a task runs twice at a time.
+fn a_replaced_owner_starts_no_task_that_still_runs_under_its_successor() {
+    // The fleet panics if a task runs twice at the same time.
     let mut world = World::new(6);
     world.work_ms = Some(20_000);
     world.submit(1, job(vec![step(6), StepSpec { lasts: true, ..step(6) }]));
     world.run_until("all tasks run", |world| world.starts.len() == 12);
-    cut_in_two(&mut world, InFlight::Lost);
+    partition(&mut world, InFlight::Lost);
     world.run_ms(5_500);
-    heal(&mut world);
+    end_partition(&mut world);
     world.run_ms(2_000);
     assert_eq!(world.starts.len(), 12, "each task was started once");
 }
 
 #[test]
-fn an_owner_that_follows_a_short_lived_one_waits_for_the_one_before_that() {
-    // The fleet panics if a task runs twice at a time.
+fn an_owner_after_a_short_lived_one_waits_for_the_earlier_owner() {
+    // The fleet panics if a task runs twice at the same time.
     let mut world = World::new(6);
     world.work_ms = Some(20_000);
     world.submit(1, job(vec![step(6)]));
     world.run_until("all tasks run", |world| world.starts.len() == 6);
-    cut_in_two(&mut world, InFlight::Lost);
+    partition(&mut world, InFlight::Lost);
     world.run_ms(3_500);
-    // The successor stops for certain. That says nothing of the owner before it, which goes on behind the cut.
+    // The successor has certainly stopped. That proves nothing about the owner before it, which continues in its partition.
     world.take_over(3, false);
     world.run_ms(7_500);
-    heal(&mut world);
+    end_partition(&mut world);
     world.run_ms(2_000);
     assert_eq!(world.starts.len(), 6, "each task was started once");
 }
 
 #[test]
-fn a_write_that_left_before_a_lease_was_over_proves_nothing() {
+fn a_write_sent_before_a_lease_expired_does_not_confirm_the_expiry() {
     let mut world = World::new(6);
     world.work_ms = Some(4_000);
     world.submit(1, job(vec![step(18)]));
     world.run_until("all tasks run", |world| world.starts.len() == 18);
-    // Something to keep is on its way as the owner is cut off, and its answer comes once leases are over.
+    // A write is in flight when the owner is cut off, and its answer arrives after the leases have expired.
     world.store_takes = Duration::from_millis(60_000);
     world.submit(2, job(vec![step(1)]));
-    cut_in_two(&mut world, InFlight::Kept(Duration::from_millis(3_500)));
+    partition(&mut world, InFlight::Kept(Duration::from_millis(3_500)));
     world.store_takes = Duration::from_millis(10);
     world.run_ms(5_500);
-    heal(&mut world);
-    world.run_until("both complete", |world| {
+    end_partition(&mut world);
+    world.run_until("both jobs complete", |world| {
         [1, 2].iter().all(|&id| world.state(id) == Some(JobState::Completed))
     });
     assert_eq!(world.starts.len(), 19, "each task ran once");
 }
 
 #[test]
-fn an_owner_goes_on_with_what_a_lost_worker_ran_once_the_store_is_back() {
+fn tasks_of_a_lost_worker_start_again_only_after_the_store_recovers() {
     let mut world = World::new(3);
     world.work_ms = Some(20_000);
     world.submit(1, job(vec![step(3)]));
@@ -108,24 +108,25 @@
     world.store_down = true;
     world.worker(&lost).crash();
     world.run_ms(7_000);
-    assert_eq!(world.starts.len(), 3, "a successor may have heard of what ran there");
+    assert_eq!(world.starts.len(), 3, "a successor may have received the ends of these runs");
     world.store_down = false;
     world.run_ms(200);
     assert_eq!(world.starts.len(), 3 + lost_runs, "the store has confirmed the owner since");
 }
 
-/// Whichever seeds are asked for by hand, else some.
+/// Returns the seeds given in `KITETRAIL_SEEDS`, or a default range.
 fn seeds() -> Range<u64> {
-    let asked_for = env::var("KITETRAIL_SEEDS").ok();
+    let requested = env::var("KITETRAIL_SEEDS").ok();
     let parse = |text: String| {
         let (from, to) = text.split_once("..")?;
         Some(from.parse().ok()?..to.parse().ok()?)
     };
-    asked_for.and_then(parse).unwrap_or(0..60)
+    requested.and_then(parse).unwrap_or(0..60)
 }
 
-/// Each worker is cut off from neither owner, from one of them, or from both.
-fn cut_at_random(world: &World, rng: &mut ChaCha8Rng) -> (Vec<String>, Vec<String>) {
+/// Returns the workers that are cut off from the first and from the second owner. Each worker is cut off from neither, one
+/// or both.
+fn random_partition(world: &World, rng: &mut ChaCha8Rng) -> (Vec<String>, Vec<String>) {
     let (mut from_first, mut from_second) = (Vec::new(), Vec::new());
     let one_way = rng.random_bool(0.3);
     for id in world.workers.keys() {
@@ -140,9 +141,9 @@
     (from_first, from_second)
 }
 
-/// The owner loses the store and some workers, is succeeded, and does not know for some time.
-fn succeed_unknown(world: &mut World, rng: &mut ChaCha8Rng, epoch: &mut u64) {
-    let (from_first, from_second) = cut_at_random(world, rng);
+/// Cuts the owner off from the store and some workers, and starts a successor that the owner does not detect for some time.
+fn replace_undetected(world: &mut World, rng: &mut ChaCha8Rng, epoch: &mut u64) {
+    let (from_first, from_second) = random_partition(world, rng);
     world.cut_from = from_first.iter().cloned().collect();
     world.store_down = true;
     world.run_ms(rng.random_range(600..2_500));
@@ -162,8 +163,8 @@
     }
 }
 
-/// One of the things that may happen while there are two owners.
-fn trouble(world: &mut World, rng: &mut ChaCha8Rng) {
+/// Injects a random fault while two owners are active.
+fn inject_fault(world: &mut World, rng: &mut ChaCha8Rng) {
     let id = format!("w{}", rng.random_range(0..world.workers.len()));
     match rng.random_range(0..6) {
         0 => {
@@ -179,7 +180,7 @@
             world.worker(&id).mood = Mood::Well;
         }
         2 => {
-            // The way to some workers is there again before the store tells of the successor.
+            // The owner reaches some workers again before it learns of the successor from the store.
             if let Some(predecessor) = &mut world.predecessor {
                 predecessor.cut_from.remove(&id);
             }
@@ -190,8 +191,8 @@
 }
 
 #[test]
-fn whatever_two_owners_believe_tasks_run_once_and_all_jobs_end() {
-    // The fleet panics if a task runs twice at a time, or is started after an end that was taken note of.
+fn random_faults_with_two_owners_run_each_task_once_and_all_jobs_end() {
+    // The fleet panics if a task runs twice at the same time, or is started after its end was recorded.
     for seed in seeds() {
         println!("seed {seed}");
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -209,14 +210,14 @@
                 next_job += 1;
                 world.run_ms(rng.random_range(0..700));
             }
-            succeed_unknown(&mut world, &mut rng, &mut epoch);
+            replace_undetected(&mut world, &mut rng, &mut epoch);
             for _ in 0..rng.random_range(1..6) {
                 world.submit(next_job, job(vec![step(rng.random_range(1..4))]));
                 next_job += 1;
                 world.run_ms(rng.random_range(0..1_500));
-                trouble(&mut world, &mut rng);
+                inject_fault(&mut world, &mut rng);
             }
-            heal(&mut world);
+            end_partition(&mut world);
             world.run_ms(rng.random_range(0..2_000));
         }
         world.list_all();
