--- a/crates/kitetrail-core/tests/jobs_restarted.rs
+++ b/crates/kitetrail-core/tests/jobs_restarted.rs
@@ -81,25 +81,25 @@
         world.work_ms = Some(5_000);
         world.submit(10, job(vec![step(4)]));
         world.run_ms(1_000);
-        let on = world.worker_of(task(10, 0, 0));
-        let lost = world.worker(&on).running.len();
-        world.restart(&on);
-        let at = world.now;
+        let worker_id = world.worker_of(task(10, 0, 0));
+        let lost_runs = world.worker(&worker_id).running.len();
+        world.restart(&worker_id);
+        let restarted_at = world.now;
         world.run_ms(listed_after_ms);
         world.list_all();
-        world.run_until("all tasks run again", |world| world.starts.len() == 4 + lost);
-        assert!(world.now.since(at).as_millis() < 1_500, "they waited for a lease");
+        world.run_until("all tasks run again", |world| world.starts.len() == 4 + lost_runs);
+        assert!(world.now.since(restarted_at).as_millis() < 1_500, "they waited for a lease");
         world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
-        assert_eq!(world.starts.len(), 4 + lost, "runs on other workers continued");
+        assert_eq!(world.starts.len(), 4 + lost_runs, "runs on other workers continued");
     }
 }
 
 #[test]
 fn a_restart_that_only_answers_report_is_detected() {
-    for answers_tell_start in [true, false] {
+    for answers_report_start in [true, false] {
         let mut world = used_fleet(4);
         for worker in world.workers.values_mut() {
-            worker.answers_tell_start = answers_tell_start;
+            worker.answers_tell_start = answers_report_start;
         }
         for id in ["w0", "w1", "w2", "w3"] {
             world.restart(id);
@@ -107,13 +107,18 @@
         world.submit(10, job(vec![step(12)]));
         world.run_ms(1_000);
         // Until the entries of the new incarnations are read, only orders in flight when the restart was detected start runs.
-        let before = world.starts.len();
-        assert!(before < 12, "{answers_tell_start}: {:?}", world.starts);
+        let started_before = world.starts.len();
+        assert!(started_before < 12, "{answers_report_start}: {:?}", world.starts);
         world.run_ms(1_000);
-        assert_eq!(world.starts.len(), before, "{answers_tell_start}: {:?}", world.starts);
+        assert_eq!(
+            world.starts.len(),
+            started_before,
+            "{answers_report_start}: {:?}",
+            world.starts
+        );
         world.list_all();
         world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
-        assert_eq!(world.starts.len(), 12, "{answers_tell_start}: {:?}", world.starts);
+        assert_eq!(world.starts.len(), 12, "{answers_report_start}: {:?}", world.starts);
         assert_eq!(world.crashes_noticed(), 0, "nothing was running when the workers restarted");
     }
 }
@@ -140,16 +145,16 @@
 
 #[test]
 fn a_restarted_worker_whose_clock_was_set_back_is_used_again() {
-    for elsewhere in [false, true] {
+    for at_new_address in [false, true] {
         let mut world = used_fleet(1);
         world.work_ms = Some(2_000);
         world.submit(10, job(vec![step(2)]));
         world.run_ms(500);
-        let address = if elsewhere { "10.9.9.9:80" } else { "10.0.0.0:80" };
+        let address = if at_new_address { "10.9.9.9:80" } else { "10.0.0.0:80" };
         world.restart_as("w0", Incarnation(DAY_UNIX_MS - 5_000), address.to_owned());
         world.list_all();
         world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
-        assert_eq!(world.starts.len(), 4, "both tasks run twice, new address: {elsewhere}");
+        assert_eq!(world.starts.len(), 4, "both tasks run twice, new address: {at_new_address}");
     }
 }
 
@@ -158,13 +163,15 @@
     let mut world = used_fleet(2);
     world.submit(10, job(vec![step(1)]));
     world.run_until("the task runs", |world| world.starts.len() == 1);
-    let on = world.worker_of(task(10, 0, 0));
-    world.worker(&on).mood = Mood::Unread;
-    world.run_until("the task is done", |world| world.workers[&on].done.contains(&task(10, 0, 0)));
-    let (life, hold, sent_at) = world.worker(&on).held.unwrap();
-    let ended = world.worker(&on).ended.clone();
-    let before = world.worker(&on).entry.incarnation;
-    world.restart(&on);
+    let worker_id = world.worker_of(task(10, 0, 0));
+    world.worker(&worker_id).mood = Mood::Unread;
+    world.run_until("the task is done", |world| {
+        world.workers[&worker_id].done.contains(&task(10, 0, 0))
+    });
+    let (life, hold, sent_at) = world.worker(&worker_id).held.unwrap();
+    let ended = world.worker(&worker_id).ended.clone();
+    let before = world.worker(&worker_id).entry.incarnation;
+    world.restart(&worker_id);
     world.list_all();
     // The late answer of the previous incarnation is read before the next one has answered.
     world.tell(Event::LateEnds { life, incarnation: before, ended });
@@ -177,9 +184,9 @@
 fn the_next_hold_after_a_restart_drops_no_unread_end() {
     // The worker has reported an end that is committed but not yet acknowledged to it. It restarts, gets a short task, and
     // receives the next hold after that has ended.
-    for (answers_tell_start, order_answers_take_ms) in [(true, 0), (false, 0), (false, 300)] {
+    for (answers_report_start, order_answers_take_ms) in [(true, 0), (false, 0), (false, 300)] {
         let mut world = used_fleet(1);
-        world.worker("w0").answers_tell_start = answers_tell_start;
+        world.worker("w0").answers_tell_start = answers_report_start;
         world.submit(10, job(vec![step(1)]));
         let end_is_read = |world: &World| world.state(10) == Some(JobState::Completed);
         world.run_until("its end is read", end_is_read);
@@ -190,7 +197,7 @@
         world.submit(11, job(vec![step(1)]));
         world.run_until("the job completes", |world| world.state(11) == Some(JobState::Completed));
         let starts = world.starts.iter().filter(|(_, name, ..)| *name == task(11, 0, 0));
-        assert_eq!(starts.count(), 1, "{answers_tell_start}, {order_answers_take_ms} ms");
+        assert_eq!(starts.count(), 1, "{answers_report_start}, {order_answers_take_ms} ms");
     }
 }
 
@@ -201,24 +208,24 @@
         world.work_ms = Some(5_000);
         world.submit(10, job(vec![step(4)]));
         world.run_ms(1_000);
-        let on = world.worker_of(task(10, 0, 0));
-        let lost = world.worker(&on).running.len();
+        let worker_id = world.worker_of(task(10, 0, 0));
+        let lost_runs = world.worker(&worker_id).running.len();
         if listed_first {
-            world.restart(&on);
+            world.restart(&worker_id);
             world.list_all();
             world.run_ms(30);
             world.take_over(2, true);
         } else {
-            world.restart(&on);
+            world.restart(&worker_id);
             world.take_over(2, true);
         }
-        let at = world.now;
-        world.run_until("all tasks run again", |world| world.starts.len() == 4 + lost);
-        assert!(world.now.since(at).as_millis() < 1_500, "they waited for a lease");
+        let taken_over_at = world.now;
+        world.run_until("all tasks run again", |world| world.starts.len() == 4 + lost_runs);
+        assert!(world.now.since(taken_over_at).as_millis() < 1_500, "they waited for a lease");
         world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
         let rows = world.lives.keys().cloned().collect::<BTreeSet<_>>();
         world.run_ms(1_000);
-        assert_eq!(world.starts.len(), 4 + lost, "runs on other workers continued");
+        assert_eq!(world.starts.len(), 4 + lost_runs, "runs on other workers continued");
         assert_eq!(
             world.lives.len(),
             4,
@@ -311,8 +318,8 @@
     world.work_ms = Some(10_000);
     world.submit(10, job(vec![step(5)]));
     world.run_ms(500);
-    let idler = ["w0", "w1"].into_iter().min_by_key(|id| world.workers[*id].running.len());
-    let entry = world.workers[idler.unwrap()].entry.clone();
+    let least_loaded = ["w0", "w1"].into_iter().min_by_key(|id| world.workers[*id].running.len());
+    let entry = world.workers[least_loaded.unwrap()].entry.clone();
     // A late entry: nobody answers at its address.
     let (incarnation, address) = (Some(Incarnation(7)), "10.9.9.9:80".to_owned());
     world.list(WorkerEntry { incarnation, address, ..entry });
@@ -388,10 +395,10 @@
     let id = format!("w{}", rng.random_range(0..world.workers.len()));
     match rng.random_range(0..10) {
         0..5 => {
-            let elsewhere = rng.random_bool(0.3);
+            let at_new_address = rng.random_bool(0.3);
             // The clock may have been set back, but two incarnations of a worker never report the same start time.
             let started = DAY_UNIX_MS + world.now.as_ms() - rng.random_range(0..2) * 2_999;
-            let address = match elsewhere {
+            let address = match at_new_address {
                 true => format!("10.1.{}.{}:80", rng.random_range(0..99), rng.random_range(0..99)),
                 false => world.worker(&id).entry.address.clone(),
             };
@@ -401,8 +408,8 @@
             world.list(entry);
         }
         5 if !stale.is_empty() => {
-            let at = rng.random_range(0..stale.len());
-            world.list(stale.swap_remove(at));
+            let index = rng.random_range(0..stale.len());
+            world.list(stale.swap_remove(index));
             world.run_ms(rng.random_range(0..1_200));
             world.list_all();
         }
@@ -454,9 +461,9 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut world = World::new(6);
         world.tell_incarnations();
-        let tell_start = rng.random_bool(0.5);
+        let answers_report_start = rng.random_bool(0.5);
         for worker in world.workers.values_mut() {
-            worker.answers_tell_start = tell_start;
+            worker.answers_tell_start = answers_report_start;
         }
         let (mut epoch, mut stale) = (1, Vec::new());
         world.work_ms = Some(rng.random_range(50..1_500));
--- a/crates/kitetrail-core/tests/jobs_two_owners.rs
+++ b/crates/kitetrail-core/tests/jobs_two_owners.rs
@@ -14,13 +14,13 @@
 ///
 /// The owner has been cut off from the store for 2 s when the successor takes over.
 fn partition(world: &mut World, in_flight: InFlight) {
-    let (near, beyond) = (["w0", "w1", "w2"], ["w3", "w4", "w5"]);
+    let (owner_side, successor_side) = (["w0", "w1", "w2"], ["w3", "w4", "w5"]);
     world.store_down = true;
-    world.cut_from = beyond.map(str::to_owned).into();
+    world.cut_from = successor_side.map(str::to_owned).into();
     world.run_ms(2_000);
     world.store_down = false;
-    world.cut_from = near.map(str::to_owned).into();
-    world.take_over_beside(2, in_flight, &beyond);
+    world.cut_from = owner_side.map(str::to_owned).into();
+    world.take_over_beside(2, in_flight, &successor_side);
 }
 
 /// Ends the partition.
@@ -130,11 +130,11 @@
     let (mut from_first, mut from_second) = (Vec::new(), Vec::new());
     let one_way = rng.random_bool(0.3);
     for id in world.workers.keys() {
-        let near_first = rng.random_bool(0.5);
-        if !near_first {
+        let reaches_first = rng.random_bool(0.5);
+        if !reaches_first {
             from_first.push(id.clone());
         }
-        if near_first != (one_way && rng.random_bool(0.5)) {
+        if reaches_first != (one_way && rng.random_bool(0.5)) {
             from_second.push(id.clone());
         }
     }
--- a/crates/kitetraild/src/fleet/committer.rs
+++ b/crates/kitetraild/src/fleet/committer.rs
@@ -48,7 +48,7 @@
 
 /// The HTTP statuses that refuse a write permanently: malformed, and too large.
 const PERMANENT_REFUSAL_STATUSES: [u16; 2] = [400, 413];
-/// The number of consecutive permanent refusals after which an owner gives up the fleet. The next owner starts from
+/// The number of consecutive permanent refusals after which an owner releases the fleet. The next owner starts from
 /// the committed state alone, whereas this one could commit nothing more while this write is pending. More than one
 /// refusal is required, since a failing platform may return such a status by mistake.
 const MAX_PERMANENT_REFUSALS: u32 = 3;
--- a/crates/kitetraild/src/fleet/evacuation.rs
+++ b/crates/kitetraild/src/fleet/evacuation.rs
@@ -86,7 +86,7 @@
 
     /// Returns whether the latest call that returned the requests began at most `fresh_for` ago.
     fn is_known_within(&self, now: Time, fresh_for: Duration) -> bool {
-        self.asked_at.get().is_some_and(|at| now.since(at) <= fresh_for)
+        self.asked_at.get().is_some_and(|asked_at| now.since(asked_at) <= fresh_for)
     }
 }
 
--- a/crates/kitetraild/src/fleet/owner/mod.rs
+++ b/crates/kitetraild/src/fleet/owner/mod.rs
@@ -46,7 +46,8 @@
     Event(Event),
     /// A batch was committed.
     Committed(u64),
-    /// Another owner took over the fleet, or must take it over; the text is the reason.
+    /// The writer can commit nothing more: another owner took over, or the store refuses a write
+    /// permanently. The text is the reason.
     Deposed(&'static str),
     /// A request to release the fleet in an orderly way.
     Release,
@@ -89,7 +90,7 @@
     waiting_callers: HashMap<RequestNo, oneshot::Sender<Answer>>,
     /// Whether a batch is being written to the store.
     commit_in_flight: bool,
-    /// Whether another owner took over the fleet.
+    /// Whether this owner must make no more decisions, since another one took over or may have.
     deposed: bool,
     /// Whether the fleet is to be released.
     releasing: bool,
@@ -284,7 +285,7 @@
     }
 
     fn is_unconfirmed_too_long(&self, now: Time) -> bool {
-        let confirmed_ago = self.shared.confirmed_owner_at.get().map(|at| now.since(at));
+        let confirmed_ago = self.shared.confirmed_owner_at.get().map(|time| now.since(time));
         let too_long = confirmed_ago.is_none_or(|ago| ago > MAX_UNCONFIRMED);
         if too_long && !self.deposed {
             log::warn!(
--- a/crates/kitetraild/src/fleet/ownership.rs
+++ b/crates/kitetraild/src/fleet/ownership.rs
@@ -154,8 +154,8 @@
 
 /// Assesses the owner named in the store by pinging it.
 async fn assess<P: Platform>(shared: &Rc<Shared<P>>, owner: &OwnerRow) -> OwnerState {
-    // The address is that of this box, which does not own the fleet now, so the owner was an earlier
-    // process of it. Incarnations alone are not enough: boxes that start together may have the same one.
+    // A row with this box's address was written by this process, which does not own the fleet now, or by an
+    // earlier one. Incarnations alone can't show that: boxes that start together may have the same one.
     let takeover_requested = shared.asked_to_follow.get() == owner.epoch;
     if owner.released || takeover_requested || owner.address == shared.settings.listen.peers {
         return OwnerState::Stopped;
--- a/crates/kitetraild/src/fleet/run.rs
+++ b/crates/kitetraild/src/fleet/run.rs
@@ -128,7 +128,7 @@
 }
 
 /// Reports a suspension of the machine since the last check, which measured `before` in total. Returns
-/// the new total.
+/// the total that the next check compares with.
 fn report_suspension<P: Platform>(shared: &Rc<Shared<P>>, before: Duration) -> Duration {
     let suspended = shared.clock.suspended();
     let since_last_check = suspended.saturating_sub(before);
--- a/crates/kitetraild/src/fleet/shared.rs
+++ b/crates/kitetraild/src/fleet/shared.rs
@@ -265,7 +265,9 @@
 
     /// Returns how far the owner lags behind its events, by its last recent report.
     pub(super) fn owner_lag(&self) -> Duration {
-        let fresh = |(_, at): &(Duration, Time)| self.clock.now().since(*at) <= MAX_LAG_AGE;
+        let fresh = |(_, reported_at): &(Duration, Time)| {
+            self.clock.now().since(*reported_at) <= MAX_LAG_AGE
+        };
         self.reported_owner_lag.get().filter(fresh).map(|(lag, _)| lag).unwrap_or_default()
     }
 
@@ -307,7 +309,7 @@
 
     /// Returns how long ago this box certainly owned the fleet.
     pub(super) fn confirmed_owner_ago(&self) -> Option<Duration> {
-        self.confirmed_owner_at.get().map(|at| self.clock.now().since(at))
+        self.confirmed_owner_at.get().map(|confirmed_at| self.clock.now().since(confirmed_at))
     }
 
     /// Returns how long a write of the owner has been pending in the store, in milliseconds.
--- a/crates/kitetraild/src/fleet/store_doubt.rs
+++ b/crates/kitetraild/src/fleet/store_doubt.rs
@@ -35,7 +35,8 @@
         owner: &mpsc::Sender<OwnerMessage>,
     ) {
         let now = shared.clock.now();
-        let probed_recently = self.probed_at.is_some_and(|at| now.since(at) < PROBE_INTERVAL);
+        let probed_recently =
+            self.probed_at.is_some_and(|probed_at| now.since(probed_at) < PROBE_INTERVAL);
         if self.is_probing || probed_recently || !Self::is_store_suspect(shared) {
             return;
         }
