--- a/crates/kitetraild/src/fleet/owner/mod.rs
+++ b/crates/kitetraild/src/fleet/owner/mod.rs
@@ -68,7 +68,7 @@
 /// The way in which ownership ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OwnershipEnd {
-    /// Another owner took over, or the store has not confirmed this one for too long.
+    /// Another owner took over or may have, or this one can commit nothing more.
     Deposed,
     /// The box is stopping and could not read the state that the previous owner left.
     NotRead,
--- a/crates/kitetraild/src/fleet/rows.rs
+++ b/crates/kitetraild/src/fleet/rows.rs
@@ -128,7 +128,7 @@
 }
 
 /// Reads a row from the store, with its version. Returns `None` if it is absent.
-pub(super) async fn read<P: Platform, T: DeserializeOwned>(
+pub(super) async fn read_decoded<P: Platform, T: DeserializeOwned>(
     shared: &Rc<Shared<P>>,
     name: &RowName,
 ) -> Result<Option<(T, u64)>, PlatformError> {
@@ -143,14 +143,14 @@
 pub(super) async fn read_owner<P: Platform>(
     shared: &Rc<Shared<P>>,
 ) -> Result<Option<(OwnerRow, u64)>, PlatformError> {
-    read(shared, &owner_row()).await
+    read_decoded(shared, &owner_row()).await
 }
 
 /// Reads the head row, with its version. Returns `None` if nothing was ever written.
 pub(super) async fn read_head<P: Platform>(
     shared: &Rc<Shared<P>>,
 ) -> Result<Option<(HeadRow, u64)>, PlatformError> {
-    read(shared, &head_row()).await
+    read_decoded(shared, &head_row()).await
 }
 
 /// Encodes a value of a row.
--- a/crates/kitetraild/src/fleet/takeover.rs
+++ b/crates/kitetraild/src/fleet/takeover.rs
@@ -338,7 +338,7 @@
 /// Reads what the previous owner learned about images. Returns an empty record if the row can't be
 /// decoded, since the scheduler relearns it within seconds.
 async fn load_effects<P: Platform>(shared: &Rc<Shared<P>>) -> Result<EffectsRecord, PlatformError> {
-    match rows::read::<_, EffectsRecord>(shared, &rows::effects_row()).await {
+    match rows::read_decoded::<_, EffectsRecord>(shared, &rows::effects_row()).await {
         Ok(effects) => Ok(effects.map(|(effects, _)| effects).unwrap_or_default()),
         Err(error @ PlatformError::Malformed { .. }) => {
             log::error!(
