--- a/crates/kitetraild/src/fleet/predecessor.rs
+++ b/crates/kitetraild/src/fleet/predecessor.rs
@@ -1,4 +1,4 @@
-//! Learns that the owner before has stopped after all, so that nobody waits for leases that it might have renewed.
+//! Detects that the previous owner has stopped, so that the scheduler need not wait for leases that it might have renewed.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -13,9 +13,9 @@
     takeover::Claim,
 };
 
-/// Asks the box of the owner before until it is certain that it stopped, or has been without the store for too long.
+/// Pings the previous owner's box until that owner has certainly stopped, or has been without the store for too long.
 ///
-/// A process that was killed is back within seconds, and answers as another one.
+/// A killed process is restarted within seconds and then answers with another incarnation.
 pub(super) async fn watch<P: Platform>(
     shared: Rc<Shared<P>>,
     claim: Claim,
@@ -26,10 +26,12 @@
     while earlier_owners.get().last_may_renew(shared.clock.now()) {
         if ownership::has_stopped(&shared, &predecessor.row).await {
             let mut known = earlier_owners.get();
-            let at = known.note_last_stopped(shared.clock.now());
+            let stopped_at = known.note_last_stopped(shared.clock.now());
             earlier_owners.set(known);
             log::info!(epoch = predecessor.row.epoch; "owner: the one before has stopped");
-            let _ = owner.send(OwnerMessage::Event(Event::EarlierOwnersStopped { at })).await;
+            let _ = owner
+                .send(OwnerMessage::Event(Event::EarlierOwnersStopped { at: stopped_at }))
+                .await;
             return;
         }
         time::sleep(PING_EVERY).await;
