--- a/crates/kitetraild/src/fleet/calls.rs
+++ b/crates/kitetraild/src/fleet/calls.rs
@@ -1,4 +1,4 @@
-//! Callers' requests on their way to the owner of the fleet, wherever it is.
+//! Forwards callers' requests to the owner of the fleet, in this process or in another box.
 
 use std::{
     rc::Rc,
@@ -14,101 +14,106 @@
 
 use super::{Platform, owner::OwnerMessage, rows, shared::Shared};
 
-/// How long to wait before the owner is asked again, if nothing is heard of another one.
-const RETRY: Duration = Duration::from_millis(60);
-/// How long one try may take. The owner answers within some 20 ms if the store does.
-const TRY: Duration = Duration::from_millis(900);
-/// How long to wait for the owner before a job's state is read from the store instead.
-const STATE_FALLBACK: Duration = Duration::from_millis(300);
+/// The delay before the owner is called again, unless another owner becomes known earlier.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
+/// The timeout of one attempt. The owner answers within about 20 ms if the store does.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(900);
+/// The time after which a job's state is read from the store if the owner has not answered.
+const STATE_FALLBACK_AFTER: Duration = Duration::from_millis(300);
 
-/// What a caller wants of the owner.
+/// A caller's request to the owner.
 #[derive(Debug, Clone)]
 pub(super) enum Call {
-    /// Take a job.
+    /// Submits a job.
     Submit { job: JobId, queue: QueueTerms, spec: Rc<JobSpec> },
-    /// Cancel a job.
+    /// Cancels a job.
     Cancel { job: JobId },
-    /// Tell a job's state.
+    /// Queries a job's state.
     State { job: JobId },
 }
 
-/// What the owner says.
+/// The owner's answer to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Answer {
-    /// The job is kept.
+    /// The job is stored.
     Accepted,
-    /// The job is cancelled, or had ended.
+    /// The job is cancelled, or had already ended.
     Cancelled,
-    /// There is no such job.
+    /// No job has this id.
     UnknownJob,
-    /// How the job stands.
+    /// The job's state.
     State(JobState),
-    /// The owner can't keep it. Nothing was done, nor will be.
+    /// The owner can't store the job. The call had no effect and will have none.
     Refused,
-    /// Nobody was found who owns the fleet. Nothing was done.
+    /// No owner of the fleet was found. The call had no effect.
     NotRun,
-    /// It may have been done.
+    /// The call may have taken effect.
     InDoubt,
-    /// The asked box does not own the fleet. Nothing was done.
+    /// The called box does not own the fleet. The call had no effect.
     NotOwner,
 }
 
-/// Brings a call to the owner and its answer back, or gives up.
-pub(super) async fn answer<P: Platform>(
+/// Forwards a call to the owner until it is answered or the deadline passes.
+pub(super) async fn call_owner<P: Platform>(
     shared: &Rc<Shared<P>>,
     call: Call,
-    give_up_at: Instant,
+    deadline: Instant,
 ) -> Answer {
     let started = Instant::now();
     let mut in_doubt = false;
     loop {
-        let left = give_up_at.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return if in_doubt { Answer::InDoubt } else { Answer::NotRun };
         }
-        let answered = try_while_owner_stays(shared, &call, left.min(TRY)).await;
-        match answered {
+        let attempt =
+            attempt_until_owner_changes(shared, &call, remaining.min(ATTEMPT_TIMEOUT)).await;
+        match attempt {
             Answer::NotOwner | Answer::NotRun => {}
             Answer::InDoubt => in_doubt = true,
             Answer::UnknownJob if let Call::State { job } = call => {
                 return confirm_unknown(shared, job).await;
             }
-            // An earlier try may be kept still.
+            // An earlier attempt may still take effect.
             Answer::Refused if in_doubt => return Answer::InDoubt,
             answer => return answer,
         }
         if let Call::State { job } = &call
-            && started.elapsed() >= STATE_FALLBACK
-            && let Some(answer) = read_state(shared, *job).await
+            && started.elapsed() >= STATE_FALLBACK_AFTER
+            && let Some(answer) = read_state_from_store(shared, *job).await
         {
             return answer;
         }
-        let changed = shared.owner_changed.notified();
-        let _ = time::timeout(RETRY.min(left), changed).await;
+        let owner_change = shared.owner_changed.notified();
+        let _ = time::timeout(RETRY_DELAY.min(remaining), owner_change).await;
     }
 }
 
-/// Asks the owner once, and gives up when another owner is believed in.
-async fn try_while_owner_stays<P: Platform>(
+/// Calls the owner once and stops waiting when another owner becomes known.
+async fn attempt_until_owner_changes<P: Platform>(
     shared: &Rc<Shared<P>>,
     call: &Call,
-    within: Duration,
+    timeout: Duration,
 ) -> Answer {
-    let changed = shared.owner_changed.notified();
+    let owner_change = shared.owner_changed.notified();
     tokio::select! {
-        answer = try_once(shared, call, within) => answer,
-        () = changed => Answer::InDoubt,
+        answer = attempt_call(shared, call, timeout) => answer,
+        () = owner_change => Answer::InDoubt,
     }
 }
 
-/// Asks the owner once, in this box or in another one.
-async fn try_once<P: Platform>(shared: &Rc<Shared<P>>, call: &Call, within: Duration) -> Answer {
+/// Calls the owner once, in this box or in another one.
+async fn attempt_call<P: Platform>(
+    shared: &Rc<Shared<P>>,
+    call: &Call,
+    timeout: Duration,
+) -> Answer {
     let local = shared.local_owner.borrow().clone();
     let owner = shared.owner();
     match (local, owner.address) {
-        (Some(owner), _) => ask_local(owner, call.clone(), within).await,
+        (Some(owner), _) => call_local_owner(owner, call.clone(), timeout).await,
         (None, Some(address)) if address != shared.settings.listen.peers => {
-            let (answer, view) = shared.peers.call(address, call, within).await;
+            let (answer, view) = shared.peers.call(address, call, timeout).await;
             shared.note_told_view(view);
             answer
         }
@@ -116,28 +121,28 @@
     }
 }
 
-/// Asks the owner in this process.
-pub(super) async fn ask_local(
+/// Calls the owner in this process.
+pub(super) async fn call_local_owner(
     owner: mpsc::Sender<OwnerMessage>,
     call: Call,
-    within: Duration,
+    timeout: Duration,
 ) -> Answer {
     let (reply, answer) = oneshot::channel();
     if owner.try_send(OwnerMessage::Call(call, reply)).is_err() {
         return Answer::NotRun;
     }
-    match time::timeout(within, answer).await {
+    match time::timeout(timeout, answer).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(_)) | Err(_) => Answer::InDoubt,
     }
 }
 
-/// What is said of a job that the owner does not know: it is denied only if the store denies it too.
+/// Returns the answer for a job that the owner does not know, after a check in the store.
 ///
-/// What an owner knows was read from the store when it took over; a fault on that way must not lose
-/// an accepted job. Few ask for jobs that nobody knows.
+/// The owner read its jobs from the store at its takeover. A fault on that path must not deny an
+/// accepted job. Queries for unknown jobs are rare, so the extra reads cost little.
 async fn confirm_unknown<P: Platform>(shared: &Rc<Shared<P>>, job: JobId) -> Answer {
-    match read_state(shared, job).await {
+    match read_state_from_store(shared, job).await {
         Some(Answer::UnknownJob) => Answer::UnknownJob,
         Some(kept) => {
             log::error!(
@@ -150,19 +155,20 @@
     }
 }
 
-/// What the store says of a job, while no owner answers.
-async fn read_state<P: Platform>(shared: &Rc<Shared<P>>, job: JobId) -> Option<Answer> {
+/// Returns a job's state from the store, `None` if the store can't be read.
+async fn read_state_from_store<P: Platform>(shared: &Rc<Shared<P>>, job: JobId) -> Option<Answer> {
     let name = job.to_string();
     let progress = read_row(shared, &rows::progress_row(&name)).await?;
     if let Some(progress) = progress {
-        return state_of(&progress);
+        return state_from_progress(&progress);
     }
     if read_row(shared, &rows::job_row(&name)).await?.is_some() {
         return Some(Answer::State(JobState::Queued));
     }
-    // It may have ended between the two: then its progress came as the other row went.
+    // The job may have ended between the two reads: its progress row is written as its
+    // job row is deleted.
     match read_row(shared, &rows::progress_row(&name)).await? {
-        Some(progress) => state_of(&progress),
+        Some(progress) => state_from_progress(&progress),
         None => {
             log::info!(job = name, epoch = shared.owner().epoch; "job: unknown to the store");
             Some(Answer::UnknownJob)
@@ -170,7 +176,7 @@
     }
 }
 
-/// A row, `None` in it if it is absent; `None` if the store does not tell.
+/// Reads a row. Returns `Some(None)` if it is absent and `None` if the store can't be read.
 async fn read_row<P: Platform>(
     shared: &Rc<Shared<P>>,
     name: &RowName,
@@ -180,8 +186,8 @@
     row.ok()
 }
 
-/// What the row that holds a job's progress says of it.
-fn state_of(row: &StoredRow) -> Option<Answer> {
+/// Returns a job's state from its progress row.
+fn state_from_progress(row: &StoredRow) -> Option<Answer> {
     let progress = rows::decode::<ProgressRecord>(row);
     let progress = progress.inspect_err(|error| log::error!("store: a row can't be read: {error}"));
     Some(Answer::State(match progress.ok()?.outcome {
--- a/crates/kitetraild/src/fleet/config_watch.rs
+++ b/crates/kitetraild/src/fleet/config_watch.rs
@@ -1,4 +1,4 @@
-//! Follows what operators ask for in the store: their configuration, and zones to evacuate.
+//! Watches the operators' rows in the store: the configuration and the zones to evacuate.
 
 use std::{rc::Rc, time::Duration};
 
@@ -8,50 +8,51 @@
 
 use super::{Platform, evacuation::Source, shared::Shared};
 
-/// How long to wait after a call that failed.
-const RETRY: Duration = Duration::from_millis(200);
+/// The delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Follows them until the process ends.
+/// Watches these rows until the process ends.
 pub(super) async fn run<P: Platform>(shared: Rc<Shared<P>>) {
     let mut version = None;
     loop {
         version = match version {
-            None => read(&shared).await,
-            Some(version) => follow(&shared, version).await,
+            None => read_rows(&shared).await,
+            Some(version) => watch_rows(&shared, version).await,
         };
         if version.is_none() {
-            time::sleep(RETRY).await;
+            time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Reads all that operators ask for. Returns where to go on.
-async fn read<P: Platform>(shared: &Rc<Shared<P>>) -> Option<u64> {
-    let asked_at = shared.clock.now();
+/// Reads all operators' rows. Returns the version to watch from, `None` if the call failed.
+async fn read_rows<P: Platform>(shared: &Rc<Shared<P>>) -> Option<u64> {
+    let requested_at = shared.clock.now();
     let rows = shared.services.store.operator_rows().await;
     shared.note_store(&rows);
-    Some(take(shared, Source::List, rows.ok()?, asked_at))
+    Some(apply(shared, Source::List, rows.ok()?, requested_at))
 }
 
-async fn follow<P: Platform>(shared: &Rc<Shared<P>>, version: u64) -> Option<u64> {
+/// Waits for changes after a version. Returns the version to watch from, `None` to read all rows again.
+async fn watch_rows<P: Platform>(shared: &Rc<Shared<P>>, version: u64) -> Option<u64> {
     let wait = shared.settings.limits.config_wait;
-    let asked_at = shared.clock.now();
+    let requested_at = shared.clock.now();
     let changes = shared.services.store.operator_changes(version, wait).await;
     shared.note_store(&changes);
-    Some(take(shared, Source::Watch, changes.ok()??, asked_at))
+    Some(apply(shared, Source::Watch, changes.ok()??, requested_at))
 }
 
-/// Puts in force what operators ask for. Returns where to go on.
-fn take<P: Platform>(
+/// Applies the operators' rows. Returns the version to watch from.
+fn apply<P: Platform>(
     shared: &Shared<P>,
     source: Source,
     rows: OperatorRows,
-    asked_at: Time,
+    requested_at: Time,
 ) -> u64 {
     let OperatorRows { config, evacuations, version } = rows;
     if let Some(config) = config {
         shared.offer_config(config, "store");
     }
-    shared.note_evacuations(source, version, evacuations, asked_at);
+    shared.note_evacuations(source, version, evacuations, requested_at);
     version
 }
--- a/crates/kitetraild/src/fleet/front.rs
+++ b/crates/kitetraild/src/fleet/front.rs
@@ -198,7 +198,7 @@
         }
     };
     let call = Call::Submit { job, queue: route.queue.clone(), spec };
-    match calls::answer(shared, call, give_up_at).await {
+    match calls::call_owner(shared, call, give_up_at).await {
         Answer::Accepted => empty(StatusCode::OK),
         answer => give_up("submit", job, answer),
     }
@@ -214,7 +214,7 @@
     job: JobId,
     give_up_at: Instant,
 ) -> Response<Body> {
-    match calls::answer(shared, Call::State { job }, give_up_at).await {
+    match calls::call_owner(shared, Call::State { job }, give_up_at).await {
         Answer::State(state) => json(StatusCode::OK, shared.services.codec.write_state(state)),
         Answer::UnknownJob => refuse(StatusCode::GONE, "there is no such job"),
         answer => give_up("state", job, answer),
@@ -226,7 +226,7 @@
     job: JobId,
     give_up_at: Instant,
 ) -> Response<Body> {
-    match calls::answer(shared, Call::Cancel { job }, give_up_at).await {
+    match calls::call_owner(shared, Call::Cancel { job }, give_up_at).await {
         Answer::Cancelled => {
             json(StatusCode::OK, shared.services.codec.write_state(JobState::Cancelled))
         }
--- a/crates/kitetraild/src/fleet/operators.rs
+++ b/crates/kitetraild/src/fleet/operators.rs
@@ -1,4 +1,4 @@
-//! Whether the box takes new connections, and its counters.
+//! Serves the readiness check and the metrics over HTTP.
 
 use std::{
     net::SocketAddr,
@@ -17,32 +17,32 @@
 use super::FleetSettings;
 use crate::metrics::Metrics;
 
-/// Whether the box takes new connections, as told to the server's threads.
+/// Whether the box accepts new connections, shared with the threads of the HTTP server.
 pub(super) type ReadyFlag = Arc<AtomicBool>;
 
-/// Answers until the process ends.
+/// Serves both endpoints until the process ends.
 pub(super) fn start(settings: &FleetSettings, ready: ReadyFlag, metrics: Metrics) {
     let path = settings.ready_path.trim_start_matches('/');
-    let readiness = Router::with_path(path).get(Readiness { ready });
+    let readiness = Router::with_path(path).get(ReadinessHandler { ready });
     serve(settings.listen.ready, readiness);
-    serve(settings.listen.metrics, Router::with_path("metrics").get(Counters { metrics }));
+    serve(settings.listen.metrics, Router::with_path("metrics").get(MetricsHandler { metrics }));
 }
 
 fn serve(address: SocketAddr, routes: Router) {
     task::spawn_local(async move {
         match TcpListener::new(address).try_bind().await {
             Ok(listener) => Server::new(listener).serve(routes).await,
-            Err(error) => log::error!("operators: can't answer on {address}: {error}"),
+            Err(error) => log::error!("operators: can't listen on {address}: {error}"),
         }
     });
 }
 
-struct Readiness {
+struct ReadinessHandler {
     ready: ReadyFlag,
 }
 
 #[async_trait]
-impl Handler for Readiness {
+impl Handler for ReadinessHandler {
     async fn handle(
         &self,
         _: &mut Request,
@@ -57,12 +57,12 @@
     }
 }
 
-struct Counters {
+struct MetricsHandler {
     metrics: Metrics,
 }
 
 #[async_trait]
-impl Handler for Counters {
+impl Handler for MetricsHandler {
     async fn handle(
         &self,
         _: &mut Request,
--- a/crates/kitetraild/src/fleet/peers/channel.rs
+++ b/crates/kitetraild/src/fleet/peers/channel.rs
@@ -1,4 +1,4 @@
-//! Connections to other boxes, replaced once they went silent.
+//! Connections to other boxes, which are replaced when they become silent.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,11 +16,11 @@
     transport::{Channel, Endpoint},
 };
 
-use super::CALL_LIMIT;
+use super::CALL_TIMEOUT;
 
-/// How long a connection to a box may take to be made.
+/// The timeout for opening a connection to a box.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// What connections to other boxes are counted as.
+/// The service name of these connections in metrics and log lines.
 const SERVICE: &str = "box";
 
 /// A connection to another box.
@@ -28,57 +28,58 @@
 pub(super) struct PeerChannel {
     peer: SocketAddr,
     channel: Channel,
-    /// When it brought something, or was made.
-    heard_at: Cell<Instant>,
-    replaced: Notify,
+    /// When the last response was received, or the connection was created.
+    last_received_at: Cell<Instant>,
+    /// Notified when the connection is discarded.
+    discarded: Notify,
 }
 
 impl PeerChannel {
     fn open(peer: SocketAddr) -> Result<Self, Status> {
         let endpoint = Endpoint::from_shared(format!("http://{peer}"))
             .map_err(|error| Status::invalid_argument(error.to_string()))?;
-        let endpoint = endpoint.connect_timeout(CONNECT_TIMEOUT).timeout(CALL_LIMIT);
+        let endpoint = endpoint.connect_timeout(CONNECT_TIMEOUT).timeout(CALL_TIMEOUT);
         let channel = endpoint.tcp_nodelay(true).connect_lazy();
-        let heard_at = Cell::new(Instant::now());
-        Ok(Self { peer, channel, heard_at, replaced: Notify::new() })
+        let last_received_at = Cell::new(Instant::now());
+        Ok(Self { peer, channel, last_received_at, discarded: Notify::new() })
     }
 
-    /// A client that speaks over it.
+    /// Returns a client that uses this connection.
     pub(super) fn client(&self) -> JobsClient<Channel> {
         JobsClient::new(self.channel.clone())
     }
 
-    /// Takes note that something came over it.
-    pub(super) fn note_heard(&self) {
-        self.heard_at.set(Instant::now());
+    /// Records that a response was received.
+    pub(super) fn record_response(&self) {
+        self.last_received_at.set(Instant::now());
     }
 
-    /// Waits until it is taken for silent, from now on.
-    pub(super) fn replaced(&self) -> Notified<'_> {
-        self.replaced.notified()
+    /// Returns a future that completes when the connection is discarded after this call.
+    pub(super) fn discarded(&self) -> Notified<'_> {
+        self.discarded.notified()
     }
 }
 
-/// Connections to other boxes, made when first needed.
+/// The connections to other boxes, opened on first use.
 #[derive(Debug)]
 pub(super) struct PeerChannels {
-    /// A connection that brought nothing for so long is made anew before it is used.
-    trusted_for: Duration,
+    /// A connection that received nothing for longer is replaced before its next use.
+    max_idle: Duration,
     silences: SilenceCounts,
     channels: RefCell<HashMap<SocketAddr, Rc<PeerChannel>>>,
 }
 
 impl PeerChannels {
-    pub(super) fn new(trusted_for: Duration, silences: SilenceCounts) -> Self {
-        Self { trusted_for, silences, channels: RefCell::default() }
+    pub(super) fn new(max_idle: Duration, silences: SilenceCounts) -> Self {
+        Self { max_idle, silences, channels: RefCell::default() }
     }
 
-    /// The connection to a box.
-    pub(super) fn to(&self, peer: SocketAddr) -> Result<Rc<PeerChannel>, Status> {
+    /// Returns the connection to a box, and opens one if there is none or if it was idle too long.
+    pub(super) fn get_or_open(&self, peer: SocketAddr) -> Result<Rc<PeerChannel>, Status> {
         let mut channels = self.channels.borrow_mut();
-        let trusted =
-            |channel: &&Rc<PeerChannel>| channel.heard_at.get().elapsed() <= self.trusted_for;
-        if let Some(channel) = channels.get(&peer).filter(trusted) {
+        let is_fresh =
+            |channel: &&Rc<PeerChannel>| channel.last_received_at.get().elapsed() <= self.max_idle;
+        if let Some(channel) = channels.get(&peer).filter(is_fresh) {
             return Ok(Rc::clone(channel));
         }
         let channel = Rc::new(PeerChannel::open(peer)?);
@@ -86,18 +87,19 @@
         Ok(channel)
     }
 
-    /// Takes a connection for silent, on which nothing came for a time: later calls go on a new one,
-    /// and those that wait on it are told.
-    pub(super) fn distrust(&self, silent: &Rc<PeerChannel>, after: Duration) {
+    /// Discards a connection that received nothing within a timeout.
+    ///
+    /// Later calls use a new connection, and calls that wait on this one are notified.
+    pub(super) fn discard(&self, silent: &Rc<PeerChannel>, timeout: Duration) {
         let mut channels = self.channels.borrow_mut();
-        if !channels.get(&silent.peer).is_some_and(|present| Rc::ptr_eq(present, silent)) {
+        if !channels.get(&silent.peer).is_some_and(|current| Rc::ptr_eq(current, silent)) {
             return;
         }
         channels.remove(&silent.peer);
-        silent.replaced.notify_waiters();
+        silent.discarded.notify_waiters();
         self.silences.note(SERVICE);
         log::info!(
-            service = SERVICE, host = silent.peer.to_string(), after_ms = after.as_millis() as u64;
+            service = SERVICE, host = silent.peer.to_string(), after_ms = timeout.as_millis() as u64;
             "connections: silent, later calls go on new ones"
         );
     }
--- a/crates/kitetraild/src/fleet/peers/client.rs
+++ b/crates/kitetraild/src/fleet/peers/client.rs
@@ -1,4 +1,4 @@
-//! Calls to other boxes.
+//! Clients for calls to other boxes.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -16,10 +16,10 @@
         shared::OwnerView,
     },
     channel::{PeerChannel, PeerChannels},
-    codec::{call_request, decode_answer},
+    codec::{decode_answer, encode_call},
 };
 
-/// Speaks to other boxes.
+/// The clients for all other boxes.
 #[derive(Debug)]
 pub(in crate::fleet) struct PeerClients {
     limits: ConnectionLimits,
@@ -27,33 +27,35 @@
 }
 
 impl PeerClients {
-    /// A client to all boxes, which counts connections that were found silent.
+    /// Creates the clients. Silent connections are counted in `silences`.
     pub(in crate::fleet) fn new(limits: ConnectionLimits, silences: SilenceCounts) -> Self {
         let channels = PeerChannels::new(limits.peer_trusted_for, silences);
         Self { limits, channels }
     }
 
-    /// Brings a caller's request to the owner. Returns also which owner the asked box believes in.
+    /// Forwards a caller's request to the owner. Also returns the owner that the called box knows.
     ///
-    /// Pings tell whether a connection is silent, since the owner may have to wait for the store. Then
-    /// the call ends in doubt at once, so that it can be made again.
+    /// A slow answer does not show that the connection is silent, since the owner may have to wait for
+    /// the store; pings detect that. When they do, this call returns [`Answer::InDoubt`] at once, so
+    /// that it can be retried.
     pub(in crate::fleet) async fn call(
         &self,
         peer: SocketAddr,
         call: &Call,
-        within: Duration,
+        timeout: Duration,
     ) -> (Answer, OwnerView) {
-        let (Some(request), Ok(channel)) = (call_request(call), self.channels.to(peer)) else {
+        let (Some(request), Ok(channel)) = (encode_call(call), self.channels.get_or_open(peer))
+        else {
             return (Answer::NotRun, OwnerView::default());
         };
         let mut client = channel.client();
         let answer = tokio::select! {
-            answer = answer_within(within, client.call(request)) => answer,
-            () = channel.replaced() => Err(silent()),
+            answer = await_response(timeout, client.call(request)) => answer,
+            () = channel.discarded() => Err(timed_out()),
         };
         match answer {
             Ok(answer) => {
-                channel.note_heard();
+                channel.record_response();
                 let view = OwnerView::told(answer.epoch, &answer.owner_address);
                 (decode_answer(answer.outcome()), view)
             }
@@ -64,99 +66,102 @@
         }
     }
 
-    /// Asks a box how it stands.
+    /// Requests the status of a box.
     pub(in crate::fleet) async fn ping(
         &self,
         peer: SocketAddr,
         request: PingRequest,
     ) -> Result<PingAnswer, Status> {
-        let channel = self.channels.to(peer)?;
+        let channel = self.channels.get_or_open(peer)?;
         let mut client = channel.client();
-        self.prompt(&channel, self.limits.ping_timeout, client.ping(request)).await
+        self.await_or_discard(&channel, self.limits.ping_timeout, client.ping(request)).await
     }
 
-    /// Whether a box reaches the store, as it says in time.
-    pub(in crate::fleet) async fn reaches_store(&self, peer: SocketAddr, within: Duration) -> bool {
-        let Ok(channel) = self.channels.to(peer) else { return false };
+    /// Returns whether a box answers in time that it reaches the store.
+    pub(in crate::fleet) async fn reaches_store(
+        &self,
+        peer: SocketAddr,
+        timeout: Duration,
+    ) -> bool {
+        let Ok(channel) = self.channels.get_or_open(peer) else { return false };
         let mut client = channel.client();
-        match answer_within(within, client.reach_store(ReachStoreRequest {})).await {
+        match await_response(timeout, client.reach_store(ReachStoreRequest {})).await {
             Ok(answer) => {
-                channel.note_heard();
+                channel.record_response();
                 answer.reached
             }
             Err(status) => {
-                log::debug!(peer = peer.to_string(); "peer: can't be asked for the store: {status}");
+                log::debug!(peer = peer.to_string(); "peer: the check whether a box reaches the store failed: {status}");
                 false
             }
         }
     }
 
-    /// Asks a box to own the fleet after the owner of an epoch, which has stopped.
+    /// Asks a box to take the fleet over from the owner of an epoch, which has stopped.
     pub(in crate::fleet) async fn take_over(
         &self,
         peer: SocketAddr,
         epoch: u64,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<TakeOverAnswer, Status> {
-        let channel = self.channels.to(peer)?;
+        let channel = self.channels.get_or_open(peer)?;
         let mut client = channel.client();
-        let answer = answer_within(within, client.take_over(TakeOverRequest { epoch })).await;
-        answer.inspect(|_| channel.note_heard())
+        let answer = await_response(timeout, client.take_over(TakeOverRequest { epoch })).await;
+        answer.inspect(|_| channel.record_response())
     }
 
-    /// Asks a box for its configuration.
+    /// Fetches the configuration of a box.
     pub(in crate::fleet) async fn fetch_config(&self, peer: SocketAddr) -> Result<Config, Status> {
-        let channel = self.channels.to(peer)?;
+        let channel = self.channels.get_or_open(peer)?;
         let mut client = channel.client();
-        let fetched = client.fetch_config(FetchConfigRequest {});
-        self.prompt(&channel, self.limits.peer_timeout, fetched).await
+        let call = client.fetch_config(FetchConfigRequest {});
+        self.await_or_discard(&channel, self.limits.peer_timeout, call).await
     }
 
-    /// Tells a box a configuration.
+    /// Sends a configuration to a box.
     pub(in crate::fleet) async fn offer_config(
         &self,
         peer: SocketAddr,
         config: Config,
     ) -> Result<(), Status> {
-        let channel = self.channels.to(peer)?;
+        let channel = self.channels.get_or_open(peer)?;
         let mut client = channel.client();
-        let offered = client.offer_config(config);
-        self.prompt(&channel, self.limits.peer_timeout, offered).await.map(|_| ())
+        let call = client.offer_config(config);
+        self.await_or_discard(&channel, self.limits.peer_timeout, call).await.map(|_| ())
     }
 
-    /// What a call brings that a box answers at once. If nothing comes in time, its connection is
-    /// taken for silent.
-    async fn prompt<T>(
+    /// Awaits a call that a box answers at once. If it times out, the connection is discarded as silent.
+    async fn await_or_discard<T>(
         &self,
         channel: &Rc<PeerChannel>,
-        limit: Duration,
+        timeout: Duration,
         call: impl Future<Output = Result<Response<T>, Status>>,
     ) -> Result<T, Status> {
-        match within(limit, call).await {
+        match within(timeout, call).await {
             Some(answer) => {
-                channel.note_heard();
+                channel.record_response();
                 answer.map(Response::into_inner)
             }
             None => {
-                self.channels.distrust(channel, limit);
-                Err(silent())
+                self.channels.discard(channel, timeout);
+                Err(timed_out())
             }
         }
     }
 }
 
-/// What a call brings within a time; an error that says so if that is nothing.
-async fn answer_within<T>(
-    limit: Duration,
+/// Awaits a call, with an error if it times out.
+async fn await_response<T>(
+    timeout: Duration,
     call: impl Future<Output = Result<Response<T>, Status>>,
 ) -> Result<T, Status> {
-    match within(limit, call).await {
+    match within(timeout, call).await {
         Some(answer) => answer.map(Response::into_inner),
-        None => Err(silent()),
+        None => Err(timed_out()),
     }
 }
 
-/// What stands for an answer that did not come.
-fn silent() -> Status {
-    Status::deadline_exceeded("nothing came in time")
+/// Returns the error for a call without a response in time.
+fn timed_out() -> Status {
+    Status::deadline_exceeded("no response in time")
 }
--- a/crates/kitetraild/src/fleet/peers/codec.rs
+++ b/crates/kitetraild/src/fleet/peers/codec.rs
@@ -1,4 +1,4 @@
-//! How calls, answers and configurations are written between boxes.
+//! Encodes and decodes calls, answers and configurations that boxes exchange.
 
 use std::rc::Rc;
 
@@ -17,7 +17,7 @@
     shared::Shared,
 };
 
-/// The configuration in force, for another box.
+/// Encodes the configuration in force for another box, as an empty message if there is none.
 pub(in crate::fleet) fn encode_config<P: Platform>(shared: &Shared<P>) -> Config {
     let config = shared.config().map(|config| serde_json::to_vec(&*config));
     match config.transpose() {
@@ -29,19 +29,19 @@
     }
 }
 
-/// Takes a configuration from another box.
+/// Applies a configuration from another box, if it is newer than the one in force.
 pub(in crate::fleet) fn take_config<P: Platform>(shared: &Shared<P>, config: &Config) {
     if config.config_json.is_empty() {
         return;
     }
     match serde_json::from_slice::<FleetConfig>(&config.config_json) {
         Ok(config) => shared.offer_config(config, "peer"),
-        Err(error) => log::warn!("config: a peer's can't be read: {error}"),
+        Err(error) => log::warn!("config: the one from another box can't be decoded: {error}"),
     }
 }
 
-/// A call as it is sent; `None` if it can't be encoded.
-pub(super) fn call_request(call: &Call) -> Option<CallRequest> {
+/// Encodes a call. Returns `None` if this fails.
+pub(super) fn encode_call(call: &Call) -> Option<CallRequest> {
     let call = match call {
         Call::Submit { job, queue, spec } => call_request::Call::Submit(Submit {
             job: job.to_string(),
@@ -59,7 +59,7 @@
     encoded.inspect_err(|error| log::error!("peer: a call can't be encoded: {error}")).ok()
 }
 
-/// A call as it was sent; `None` if it can't be read.
+/// Decodes a call. Returns `None` if it is malformed.
 pub(super) fn decode_call(request: CallRequest) -> Option<Call> {
     let decoded = match request.call? {
         call_request::Call::Submit(submit) => decode_submit(&submit),
@@ -68,7 +68,7 @@
         }
         call_request::Call::State(state) => decode_job(&state.job).map(|job| Call::State { job }),
     };
-    decoded.inspect_err(|error| log::warn!("peer: a call can't be read: {error}")).ok()
+    decoded.inspect_err(|error| log::warn!("peer: a call can't be decoded: {error}")).ok()
 }
 
 fn decode_submit(submit: &Submit) -> Result<Call, String> {
@@ -82,7 +82,7 @@
     text.parse::<JobId>().map_err(|error| error.to_string())
 }
 
-/// An answer as it is sent.
+/// Encodes an answer.
 pub(super) fn encode_answer(answer: Answer) -> Outcome {
     match answer {
         Answer::Accepted => Outcome::Accepted,
@@ -99,7 +99,7 @@
     }
 }
 
-/// An answer as it was sent.
+/// Decodes an answer.
 pub(super) fn decode_answer(outcome: Outcome) -> Answer {
     match outcome {
         Outcome::Accepted => Answer::Accepted,
--- a/crates/kitetraild/src/fleet/peers/mod.rs
+++ b/crates/kitetraild/src/fleet/peers/mod.rs
@@ -1,4 +1,4 @@
-//! What boxes say to each other.
+//! The protocol between boxes: clients, the server and the message encoding.
 
 mod channel;
 mod client;
@@ -13,5 +13,5 @@
 pub(super) use server::serve;
 pub(super) use status::BoxStatus;
 
-/// How long the owner may take over a call from another box. Callers have given up by then.
-const CALL_LIMIT: Duration = Duration::from_millis(2_000);
+/// The timeout of a call that another box forwards to the owner, longer than callers wait.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
--- a/crates/kitetraild/src/fleet/peers/server.rs
+++ b/crates/kitetraild/src/fleet/peers/server.rs
@@ -1,4 +1,4 @@
-//! Answers to other boxes.
+//! The server for calls from other boxes.
 
 use std::{
     net::SocketAddr,
@@ -27,20 +27,20 @@
         rows,
         shared::Shared,
     },
-    CALL_LIMIT,
+    CALL_TIMEOUT,
     codec::{decode_call, encode_answer, encode_config, take_config},
     status::BoxStatus,
 };
 
-/// How many messages from other boxes may wait.
-const QUEUE: usize = 1_024;
-/// How long a box that was asked to own the fleet may take before it answers. It takes some 100 ms.
-const TAKE_OVER_LIMIT: Duration = Duration::from_millis(800);
+/// The capacity of the queue of messages from other boxes.
+const QUEUE_CAPACITY: usize = 1_024;
+/// The longest wait for a takeover before the request for it is answered. A takeover takes about 100 ms.
+const TAKE_OVER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// A message from another box. The server's threads may be others than the one of the shared state.
+/// A message from another box, passed from the server's thread to the thread of the shared state.
 enum PeerMessage {
     Call(CallRequest, oneshot::Sender<CallAnswer>),
-    /// A box asked how this one stands, and was answered.
+    /// A ping that has already been answered.
     Pinged(PingRequest),
     FetchConfig(oneshot::Sender<Config>),
     OfferConfig(Config),
@@ -48,40 +48,40 @@
     TakeOver(TakeOverRequest, oneshot::Sender<TakeOverAnswer>),
 }
 
-/// Answers other boxes until the process ends, on a thread of its own: see [`BoxStatus`].
+/// Serves other boxes until the process ends, on a separate thread: see [`BoxStatus`].
 pub(in crate::fleet) async fn serve<P: Platform>(shared: Rc<Shared<P>>) {
-    let (sender, mut messages) = mpsc::channel(QUEUE);
+    let (sender, mut messages) = mpsc::channel(QUEUE_CAPACITY);
     let address = shared.settings.listen.peers;
-    let idle_check = shared.settings.limits.peer_idle_check;
+    let idle_interval = shared.settings.limits.peer_idle_check;
     let server = Server::builder()
-        .http2_keepalive_interval(Some(idle_check))
-        .http2_keepalive_timeout(Some(idle_check))
+        .http2_keepalive_interval(Some(idle_interval))
+        .http2_keepalive_timeout(Some(idle_interval))
         .add_service(JobsServer::new(Handler { sender, status: shared.status.clone() }))
         .serve(address);
-    let answered = thread::Builder::new().name("peers".to_owned()).spawn(move || {
+    let started = thread::Builder::new().name("peers".to_owned()).spawn(move || {
         let runtime = runtime::Builder::new_current_thread().enable_all().build();
         let served = runtime.map(|runtime| runtime.block_on(server));
         if !matches!(served, Ok(Ok(()))) {
-            log::error!("peer: can't answer on {address}: {served:?}");
+            log::error!("peer: can't serve on {address}: {served:?}");
         }
     });
-    if let Err(error) = answered {
-        log::error!("peer: can't answer on {address}: {error}");
+    if let Err(error) = started {
+        log::error!("peer: can't start the server thread for {address}: {error}");
     }
     while let Some(message) = messages.recv().await {
-        take(&shared, message);
+        handle_message(&shared, message);
     }
 }
 
-/// Does what a message asks for; what takes time goes on beside the next messages.
-fn take<P: Platform>(shared: &Rc<Shared<P>>, message: PeerMessage) {
+/// Handles a message. Slow operations run in their own tasks, so that they don't delay later messages.
+fn handle_message<P: Platform>(shared: &Rc<Shared<P>>, message: PeerMessage) {
     match message {
         PeerMessage::Call(request, reply) => {
             task::spawn_local(answer_call(Rc::clone(shared), request, reply));
         }
         PeerMessage::Pinged(request) => {
             shared.note_told_owner(request.epoch, &request.owner_address);
-            note_candidate(shared, &request);
+            record_candidate(shared, &request);
         }
         PeerMessage::FetchConfig(reply) => {
             let _ = reply.send(encode_config(shared));
@@ -96,7 +96,7 @@
     }
 }
 
-/// Does what a caller of another box asks for, if this one owns the fleet.
+/// Answers a call that another box forwarded, if this box owns the fleet.
 async fn answer_call<P: Platform>(
     shared: Rc<Shared<P>>,
     request: CallRequest,
@@ -104,7 +104,7 @@
 ) {
     let owner = shared.local_owner.borrow().clone();
     let answer = match (owner, decode_call(request)) {
-        (Some(owner), Some(call)) => calls::ask_local(owner, call, CALL_LIMIT).await,
+        (Some(owner), Some(call)) => calls::call_local_owner(owner, call, CALL_TIMEOUT).await,
         (None, _) => Answer::NotOwner,
         (_, None) => Answer::NotRun,
     };
@@ -114,34 +114,34 @@
     let _ = reply.send(CallAnswer { outcome, epoch: view.epoch, owner_address });
 }
 
-/// Asks the store for the smallest thing there is.
+/// Checks whether this box reaches the store, by its smallest read.
 async fn reach_store<P: Platform>(shared: Rc<Shared<P>>, reply: oneshot::Sender<ReachStoreAnswer>) {
     let read = rows::read_owner(&shared).await;
     let _ = reply.send(ReachStoreAnswer { reached: read.is_ok() });
 }
 
-/// Lets this box follow an owner that has stopped, and tells who owns the fleet then.
+/// Requests that this box take over from a stopped owner, and replies with the owner after that.
 async fn take_over<P: Platform>(
     shared: Rc<Shared<P>>,
     epoch: u64,
     reply: oneshot::Sender<TakeOverAnswer>,
 ) {
-    log::info!(epoch = epoch; "owner: asked to follow an owner that has stopped");
+    log::info!(epoch = epoch; "owner: asked to take over from an owner that has stopped");
     shared.asked_to_follow.set(epoch);
     shared.follow_asked.notify_one();
-    let followed = async {
+    let succeeded = async {
         while shared.owner().epoch <= epoch {
             shared.owner_changed.notified().await;
         }
     };
-    let _ = time::timeout(TAKE_OVER_LIMIT, followed).await;
+    let _ = time::timeout(TAKE_OVER_TIMEOUT, succeeded).await;
     let view = shared.owner();
     let owner_address = view.address_text();
     let _ = reply.send(TakeOverAnswer { epoch: view.epoch, owner_address });
 }
 
-/// Takes note of a box that could own the fleet after this one.
-fn note_candidate<P: Platform>(shared: &Shared<P>, request: &PingRequest) {
+/// Records a box that could own the fleet after this one.
+fn record_candidate<P: Platform>(shared: &Shared<P>, request: &PingRequest) {
     let Ok(address) = request.address.parse::<SocketAddr>() else { return };
     let mut candidates = shared.candidates.borrow_mut();
     if request.stopping {
@@ -153,42 +153,42 @@
     candidates.note(address, Candidate { strength, started_at, heard_at: now });
 }
 
-/// Hands each message to the thread of the shared state.
+/// The gRPC service. It passes each message to the thread of the shared state.
 struct Handler {
     sender: mpsc::Sender<PeerMessage>,
     status: BoxStatus,
 }
 
 impl Handler {
-    async fn ask<T>(
+    async fn request_reply<T>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> PeerMessage,
     ) -> Result<Response<T>, Status> {
         let (reply, answer) = oneshot::channel();
-        self.sender.send(message(reply)).await.map_err(|_| stopping())?;
-        answer.await.map(Response::new).map_err(|_| stopping())
+        self.sender.send(message(reply)).await.map_err(|_| shutting_down())?;
+        answer.await.map(Response::new).map_err(|_| shutting_down())
     }
 }
 
 #[async_trait]
 impl Jobs for Handler {
     async fn call(&self, request: Request<CallRequest>) -> Result<Response<CallAnswer>, Status> {
-        self.ask(|reply| PeerMessage::Call(request.into_inner(), reply)).await
+        self.request_reply(|reply| PeerMessage::Call(request.into_inner(), reply)).await
     }
 
     async fn ping(&self, request: Request<PingRequest>) -> Result<Response<PingAnswer>, Status> {
-        // What the asker says of itself may wait, and may be left out when too much waits.
+        // The sender's status is only used later, and may be dropped when the queue is full.
         if self.sender.try_send(PeerMessage::Pinged(request.into_inner())).is_err() {
-            log::debug!("peer: too much waits, what a box said of itself is left out");
+            log::debug!("peer: the message queue is full, the status of a box is dropped");
         }
-        Ok(Response::new(self.status.answer(Instant::now())))
+        Ok(Response::new(self.status.ping_answer(Instant::now())))
     }
 
     async fn fetch_config(
         &self,
         _: Request<FetchConfigRequest>,
     ) -> Result<Response<Config>, Status> {
-        self.ask(PeerMessage::FetchConfig).await
+        self.request_reply(PeerMessage::FetchConfig).await
     }
 
     async fn offer_config(
@@ -197,7 +197,7 @@
     ) -> Result<Response<OfferConfigAnswer>, Status> {
         let message = PeerMessage::OfferConfig(request.into_inner());
         let sent = self.sender.send(message).await;
-        sent.map_err(|_| stopping())?;
+        sent.map_err(|_| shutting_down())?;
         Ok(Response::new(OfferConfigAnswer {}))
     }
 
@@ -205,18 +205,18 @@
         &self,
         _: Request<ReachStoreRequest>,
     ) -> Result<Response<ReachStoreAnswer>, Status> {
-        self.ask(PeerMessage::ReachStore).await
+        self.request_reply(PeerMessage::ReachStore).await
     }
 
     async fn take_over(
         &self,
         request: Request<TakeOverRequest>,
     ) -> Result<Response<TakeOverAnswer>, Status> {
-        self.ask(|reply| PeerMessage::TakeOver(request.into_inner(), reply)).await
+        self.request_reply(|reply| PeerMessage::TakeOver(request.into_inner(), reply)).await
     }
 }
 
-/// What is answered when nobody takes messages any more.
-fn stopping() -> Status {
+/// Returns the error for calls after the message queue was closed.
+fn shutting_down() -> Status {
     Status::unavailable("the box is stopping")
 }
--- a/crates/kitetraild/src/fleet/peers/status.rs
+++ b/crates/kitetraild/src/fleet/peers/status.rs
@@ -1,4 +1,4 @@
-//! How a box stands, as it tells others without waiting for its own loop.
+//! The status of a box, which other boxes can read while its main loop is busy.
 
 use std::{
     sync::{Arc, Mutex, PoisonError},
@@ -7,51 +7,51 @@
 
 use kitetrail_proto::jobs::PingAnswer;
 
-/// How long a loop that did not say how it stands is still taken for one that is late. Shorter than leases, 4 s.
-const LATE_AT_MOST: Duration = Duration::from_millis(3_000);
+/// The age up to which a status counts as that of a loop which is merely late. Shorter than leases, 4 s.
+const MAX_STATUS_AGE: Duration = Duration::from_millis(3_000);
 
-/// How a box stands, as it tells others without waiting for its own loop.
+/// The status of a box, which other boxes can read while its main loop is busy.
 ///
-/// A loop that has too much to do answers late. If that were all that others see of it, they would take it
-/// for lost and take the fleet over, which costs another box, as slow, a question to each worker; four
-/// boxes deposed each other so within 8 s. So the loop leaves here how it stands each time it gets
-/// round, and another thread answers.
+/// An overloaded loop answers late. If other boxes waited for it, they would consider the box dead and
+/// take the fleet over, which costs the next box, as slow as this one, a request to each worker. Four
+/// boxes deposed each other within 8 s in this way. The loop therefore publishes its status
+/// here on each iteration, and another thread answers pings.
 #[derive(Debug, Clone)]
-pub(in crate::fleet) struct BoxStatus(Arc<Mutex<Published>>);
+pub(in crate::fleet) struct BoxStatus(Arc<Mutex<Snapshot>>);
 
 #[derive(Debug)]
-struct Published {
+struct Snapshot {
     answer: PingAnswer,
-    at: Instant,
+    published_at: Instant,
 }
 
 impl BoxStatus {
-    /// A box that has said nothing yet.
+    /// Creates the status of a box whose loop has not published any yet.
     pub(in crate::fleet) fn new(incarnation: u64) -> Self {
         let answer = PingAnswer { incarnation, ..PingAnswer::default() };
-        Self(Arc::new(Mutex::new(Published { answer, at: Instant::now() })))
+        Self(Arc::new(Mutex::new(Snapshot { answer, published_at: Instant::now() })))
     }
 
-    /// What is told to a box that asks.
+    /// Returns the answer to a ping.
     ///
-    /// A loop that has not got round for long is no better than one that does not reach the store.
-    pub(super) fn answer(&self, now: Instant) -> PingAnswer {
+    /// A loop that has not published for long is reported like one that does not reach the store.
+    pub(super) fn ping_answer(&self, now: Instant) -> PingAnswer {
         let published = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let mut answer = published.answer.clone();
-        let silent = now.saturating_duration_since(published.at);
-        if silent > LATE_AT_MOST {
-            answer.store_silent_ms = answer.store_silent_ms.max(silent.as_millis() as u64);
+        let age = now.saturating_duration_since(published.published_at);
+        if age > MAX_STATUS_AGE {
+            answer.store_silent_ms = answer.store_silent_ms.max(age.as_millis() as u64);
         }
         answer
     }
 
-    /// Takes note of how the box stands.
+    /// Publishes the status of the box.
     pub(in crate::fleet) fn publish(&self, answer: PingAnswer) {
         let mut published = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        *published = Published { answer, at: Instant::now() };
+        *published = Snapshot { answer, published_at: Instant::now() };
     }
 
-    /// Takes note of the epoch in which the box owns the fleet, or asks the store for it.
+    /// Publishes the epoch in which the box owns the fleet, or for which it asks the store.
     pub(in crate::fleet) fn publish_epoch(&self, epoch: u64) {
         let mut published = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         published.answer.owns_epoch = epoch;
