--- a/crates/kitetraild/src/fleet/connection_limits.rs
+++ b/crates/kitetraild/src/fleet/connection_limits.rs
@@ -1,63 +1,63 @@
-//! How long connections may be silent before they are taken for dead.
+//! Timeouts after which silent connections are considered dead.
 //!
-//! All limits follow from what the users are promised: see `docs/design/connections.md`.
+//! All limits are derived from the promises to users: see `docs/design/connections.md`.
 
 use std::time::Duration;
 
-/// The times within which the users are promised something.
+/// The response times that users are promised.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Promises {
-    /// So long after trouble ended, silent connections included, all other promises hold again.
+    /// The time after the end of a fault, such as a silent connection, until all other promises hold again.
     pub contact: Duration,
-    /// So long after a worker said that it leaves it may be given work.
+    /// The time after a worker started to drain during which it may still be given work.
     pub drain: Duration,
-    /// So long after operators wrote a configuration it is in force.
+    /// The time from writing a configuration until it is in force.
     pub config_in_force: Duration,
-    /// So long after a job was cancelled its tasks are told to stop.
+    /// The time from cancelling a job until its tasks are ordered to stop.
     pub cancel: Duration,
-    /// So soon callers are told that a job is cancelled.
+    /// The time within which the cancellation of a job is acknowledged to its caller.
     pub acknowledge: Duration,
 }
 
-/// How long connections may be silent before they are taken for dead.
+/// Timeouts after which silent connections are considered dead.
 ///
-/// The figures in the comments hold where contact is promised within 3 s.
+/// The figures in the comments apply to a promise of contact within 3 s.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// How long a call to the store may take. A slow store takes 0.3 s.
+    /// The timeout of a call to the store. A slow store takes 0.3 s.
     pub store_timeout: Duration,
-    /// How long the store may be silent before later calls go on new connections.
+    /// The time without a response from the store after which later calls use new connections.
     pub store_suspect_after: Duration,
-    /// How long a call waits for changes in the list of workers.
+    /// The time that a watch call waits for changes in the list of workers.
     pub workers_wait: Duration,
-    /// How long a call waits for changes of the configuration.
+    /// The time that a watch call waits for changes of the configuration.
     pub config_wait: Duration,
-    /// How much longer than it waits such a call may take. Twice what a slow store takes.
+    /// The time that such a call may take beyond its wait. Twice the response time of a slow store.
     pub watch_slack: Duration,
-    /// How long a worker may take to answer an order. It answers within a millisecond or two, a box
-    /// that is slowed five times hears it in ten. A wrong doubt costs a report; a late one holds all
-    /// orders up.
+    /// The timeout of an order to a worker. A worker answers within 1 or 2 ms, and a box slowed five
+    /// times receives the answer within 10 ms. A timeout that is too short costs a report, one that is
+    /// too long delays all other orders.
     pub order_timeout: Duration,
-    /// How much longer than it may wait a worker may take to answer a hold before it counts as silent.
+    /// The time that a hold may take beyond its wait before the worker is considered silent.
     pub hold_slack: Duration,
-    /// How long the owner may take to say how it stands. A wrong doubt costs a few reads of the store.
+    /// The timeout of a ping to the owner. A false alarm costs a few reads of the store.
     pub ping_timeout: Duration,
-    /// How long another box may take over a question that asks no store. The connection may have to
-    /// be made first.
+    /// The timeout of a request to another box that does not involve the store. It includes the time
+    /// to open a connection.
     pub peer_timeout: Duration,
-    /// A connection to another box that brought nothing for so long is made anew before it is used:
-    /// longer than the owner is left without a ping.
+    /// The idle time after which a connection to another box is replaced before its next use. Longer
+    /// than the interval between pings to the owner.
     pub peer_trusted_for: Duration,
-    /// How long other boxes are left connected that say nothing. It frees file handles, no more.
+    /// The idle time after which connections from other boxes are checked. This only frees file handles.
     pub peer_idle_check: Duration,
 }
 
 impl ConnectionLimits {
-    /// The limits that keep these promises.
+    /// Derives the limits from the promises.
     pub fn of(promises: &Promises) -> Self {
-        // What hears a change must hear it before contact is promised, after a silent call and one
-        // more on a new connection; callers must be told of their cancelled job, after a ping and a
-        // call on a new connection.
+        // A watch must receive a change within the promised contact time, even after one call on a
+        // silent connection and another one on a new connection. A cancellation must be acknowledged
+        // in time even after a ping and a call on a new connection.
         let contact = promises.contact;
         let config = contact.min(promises.config_in_force.saturating_mul(3) / 2);
         let answer = contact.min(promises.cancel).min(promises.acknowledge);
--- a/crates/kitetraild/src/fleet/front.rs
+++ b/crates/kitetraild/src/fleet/front.rs
@@ -1,4 +1,4 @@
-//! Takes callers' requests over HTTP.
+//! The HTTP server for callers.
 
 use std::{
     cell::Cell,
@@ -27,97 +27,103 @@
 use super::{
     Platform,
     calls::{self, Answer, Call},
-    responses::{Body, closing, empty, json, refuse, refuse_job},
+    responses::{
+        Body, closing, empty_response, error_response, json_response, refused_job_response,
+    },
     shared::Shared,
 };
 
-/// How long a call is held at most while no owner answers. Long enough for a hand-over in order
-/// (some 100 ms) and most takeovers; short enough that the caller still has time to ask another box.
-const HOLD_AT_MOST: Duration = Duration::from_millis(1_300);
-/// Kept from the time that a caller waits, for the way back.
-const WAY_BACK: Duration = Duration::from_millis(60);
-/// Kept from the end of a box that stops, so that the last answers leave it: some ten times what an
-/// answer takes on a box that is slowed eight times.
-const LAST_ANSWERS: Duration = Duration::from_millis(300);
-/// How long to wait after a connection that could not be taken. Most likely no file handle is
-/// free; some come free as calls end.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
-/// The smallest buffer that the HTTP library allows.
-const LEAST_BUFFER_BYTES: usize = 8_192;
+/// The longest wait of a call while no owner answers. Long enough for a regular handover (about
+/// 100 ms) and most takeovers, short enough that the caller still has time to call another box.
+const MAX_WAIT: Duration = Duration::from_millis(1_300);
+/// The part of the caller's timeout that is reserved for sending the response.
+const RESPONSE_RESERVE: Duration = Duration::from_millis(60);
+/// The time before the end of a stopping box that is reserved for sending the last responses: about ten
+/// times what a response takes on a box that is slowed eight times.
+const SHUTDOWN_RESERVE: Duration = Duration::from_millis(300);
+/// The delay after a connection could not be accepted. The usual cause is a lack of file handles, some
+/// of which become free as calls end.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The smallest buffer size that the HTTP library allows.
+const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// Takes connections until the process ends.
+/// Accepts connections until the process ends.
 pub(super) async fn accept<P: Platform>(shared: Rc<Shared<P>>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                task::spawn_local(connection(Rc::clone(&shared), stream));
+                task::spawn_local(serve_connection(Rc::clone(&shared), stream));
             }
             Err(error) => {
-                log::warn!("front: a connection can't be taken: {error}");
-                time::sleep(ACCEPT_RETRY).await;
+                log::warn!("front: can't accept a connection: {error}");
+                time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn connection<P: Platform>(shared: Rc<Shared<P>>, stream: TcpStream) {
+/// Serves the requests of one connection.
+async fn serve_connection<P: Platform>(shared: Rc<Shared<P>>, stream: TcpStream) {
     let limits = shared.config().map(|config| config.limits).unwrap_or_default();
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("front: a connection keeps its delay: {error}");
+        log::debug!("front: can't set TCP_NODELAY on a connection: {error}");
     }
     let service = service_fn(move |request| {
         let shared = Rc::clone(&shared);
         async move {
-            let _in_progress = InProgress::begin(&shared.in_progress);
-            let response = answer(&shared, request, limits).await;
+            let _in_progress = InProgressGuard::begin(&shared.in_progress);
+            let response = handle_request(&shared, request, limits).await;
             Ok::<_, Infallible>(if shared.draining.get() { closing(response) } else { response })
         }
     });
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(limits.idle_timeout_ms.max(1)))
-        .max_buf_size(limits.max_header_bytes.max(LEAST_BUFFER_BYTES))
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = served {
-        log::debug!("front: a connection ended: {error}");
+        log::debug!("front: a connection ended with an error: {error}");
     }
 }
 
-/// Counts a request until it is answered, or its caller hangs up.
-struct InProgress<'a>(&'a Cell<usize>);
+/// Counts a request as in progress until it is answered or its caller disconnects.
+struct InProgressGuard<'a>(&'a Cell<usize>);
 
-impl<'a> InProgress<'a> {
+impl<'a> InProgressGuard<'a> {
     fn begin(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
         Self(count)
     }
 }
 
-impl Drop for InProgress<'_> {
+impl Drop for InProgressGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Answers a request and counts it.
-async fn answer<P: Platform>(
+/// Answers a request and records it in the metrics.
+async fn handle_request<P: Platform>(
     shared: &Rc<Shared<P>>,
     request: Request<Incoming>,
     limits: CallerLimits,
 ) -> Response<Body> {
     let started = Instant::now();
     let Some(config) = shared.config() else {
-        return refuse(StatusCode::SERVICE_UNAVAILABLE, "no configuration is known yet");
+        return error_response(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "this box has no configuration yet",
+        );
     };
-    let (what, response) = route(shared, &config, request, limits, started).await;
+    let (operation, response) = dispatch(shared, &config, request, limits, started).await;
     let latency_ms = started.elapsed().as_secs_f64() * 1_000.0;
-    shared.metrics.note_request(response.status().as_str(), what, latency_ms);
+    shared.metrics.note_request(response.status().as_str(), operation, latency_ms);
     response
 }
 
-/// Does what a request asks for. Returns what that was, for the counters, and the answer.
-async fn route<P: Platform>(
+/// Routes a request. Returns the name of the operation, for the metrics, and the response.
+async fn dispatch<P: Platform>(
     shared: &Rc<Shared<P>>,
     config: &FleetConfig,
     request: Request<Incoming>,
@@ -127,64 +133,81 @@
     let host = request.headers().get(HOST).and_then(|host| host.to_str().ok()).unwrap_or("");
     let host = host.split(':').next().unwrap_or("");
     let path = request.uri().path().to_owned();
-    let Some((route, rest)) = config.route(host, &path) else {
-        log::info!(host = host, path = path, config = config.version; "front: no such queue");
-        return ("no-queue", refuse(StatusCode::NOT_FOUND, "no queue answers here"));
+    let Some((route, job_text)) = config.route(host, &path) else {
+        log::info!(
+            host = host, path = path, config = config.version;
+            "front: no queue matches the request"
+        );
+        return (
+            "no-queue",
+            error_response(StatusCode::NOT_FOUND, "no queue matches this host and path"),
+        );
     };
-    if rest.is_empty() {
+    if job_text.is_empty() {
         return match *request.method() {
             Method::GET => ("pending", pending(shared, route)),
-            _ => ("bad", refuse(StatusCode::METHOD_NOT_ALLOWED, "a queue can only be read")),
+            _ => {
+                ("bad", error_response(StatusCode::METHOD_NOT_ALLOWED, "a queue only supports GET"))
+            }
         };
     }
-    let Ok(job) = rest.parse::<JobId>() else {
-        return ("bad", refuse(StatusCode::BAD_REQUEST, "a job's id has 16 hexadecimal digits"));
+    let Ok(job) = job_text.parse::<JobId>() else {
+        return (
+            "bad",
+            error_response(StatusCode::BAD_REQUEST, "a job id has 16 hexadecimal digits"),
+        );
     };
-    let give_up_at = give_up_at(shared, started + patience(shared, route, &request));
+    let deadline = limit_deadline(shared, started + call_timeout(shared, route, &request));
     match *request.method() {
-        Method::POST => ("submit", submit(shared, route, job, request, limits, give_up_at).await),
-        Method::GET => ("state", state(shared, job, give_up_at).await),
-        Method::DELETE => ("cancel", cancel(shared, job, give_up_at).await),
-        _ => ("bad", refuse(StatusCode::METHOD_NOT_ALLOWED, "use POST, GET or DELETE")),
+        Method::POST => ("submit", submit(shared, route, job, request, limits, deadline).await),
+        Method::GET => ("state", state(shared, job, deadline).await),
+        Method::DELETE => ("cancel", cancel(shared, job, deadline).await),
+        _ => ("bad", error_response(StatusCode::METHOD_NOT_ALLOWED, "use POST, GET or DELETE")),
     }
 }
 
-/// When a call is given up that may take until a moment: before the box ends, so that its caller is
-/// answered.
-fn give_up_at<P: Platform>(shared: &Shared<P>, latest: Instant) -> Instant {
-    let before_end = |ends_at: Instant| ends_at.checked_sub(LAST_ANSWERS).unwrap_or(ends_at);
+/// Limits the deadline of a call to the end of a stopping box, so that its caller still gets a response.
+fn limit_deadline<P: Platform>(shared: &Shared<P>, latest: Instant) -> Instant {
+    let before_end = |ends_at: Instant| ends_at.checked_sub(SHUTDOWN_RESERVE).unwrap_or(ends_at);
     shared.ends_at.get().map(before_end).map_or(latest, |end| end.min(latest))
 }
 
-/// How long an answer may take.
-fn patience<P: Platform>(
+/// Returns the timeout of a call, from the request's header and the route.
+fn call_timeout<P: Platform>(
     shared: &Shared<P>,
     route: &QueueRoute,
     request: &Request<Incoming>,
 ) -> Duration {
     let header = request.headers().get(shared.services.codec.time_left_header());
-    let left_ms =
+    let remaining_ms =
         header.and_then(|text| text.to_str().ok()).and_then(|text| text.parse::<u64>().ok());
     let route_ms = Some(route.timeout_ms).filter(|&timeout_ms| timeout_ms > 0);
-    let limits = [left_ms, route_ms].into_iter().flatten().map(Duration::from_millis);
-    let limit = limits.min().unwrap_or(HOLD_AT_MOST);
-    limit.saturating_sub(WAY_BACK).min(HOLD_AT_MOST)
+    let limits = [remaining_ms, route_ms].into_iter().flatten().map(Duration::from_millis);
+    let limit = limits.min().unwrap_or(MAX_WAIT);
+    limit.saturating_sub(RESPONSE_RESERVE).min(MAX_WAIT)
 }
 
+/// Answers with the number of waiting jobs of a queue.
 fn pending<P: Platform>(shared: &Shared<P>, route: &QueueRoute) -> Response<Body> {
     match shared.pending_of(route.queue.name.as_str()) {
-        Some(pending) => json(StatusCode::OK, shared.services.codec.write_pending(pending)),
-        None => refuse(StatusCode::SERVICE_UNAVAILABLE, "nobody told of late how many jobs wait"),
+        Some(pending) => {
+            json_response(StatusCode::OK, shared.services.codec.write_pending(pending))
+        }
+        None => error_response(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "the number of waiting jobs is not known at present",
+        ),
     }
 }
 
+/// Submits a job.
 async fn submit<P: Platform>(
     shared: &Rc<Shared<P>>,
     route: &QueueRoute,
     job: JobId,
     request: Request<Incoming>,
     limits: CallerLimits,
-    give_up_at: Instant,
+    deadline: Instant,
 ) -> Response<Body> {
     let body = match read_body(request, limits).await {
         Ok(body) => body,
@@ -194,13 +217,13 @@
         Ok(spec) => Rc::new(spec),
         Err(error) => {
             log::info!(job = job.to_string(), why = error.as_str(); "front: a job is malformed");
-            return refuse(StatusCode::BAD_REQUEST, &error);
+            return error_response(StatusCode::BAD_REQUEST, &error);
         }
     };
     let call = Call::Submit { job, queue: route.queue.clone(), spec };
-    match calls::call_owner(shared, call, give_up_at).await {
-        Answer::Accepted => empty(StatusCode::OK),
-        answer => give_up("submit", job, answer),
+    match calls::call_owner(shared, call, deadline).await {
+        Answer::Accepted => empty_response(StatusCode::OK),
+        answer => failed_call_response("submit", job, answer),
     }
 }
 
@@ -209,41 +232,51 @@
     spec.check().map(|()| spec).map_err(|error| error.to_string())
 }
 
+/// Answers with a job's state.
 async fn state<P: Platform>(
     shared: &Rc<Shared<P>>,
     job: JobId,
-    give_up_at: Instant,
+    deadline: Instant,
 ) -> Response<Body> {
-    match calls::call_owner(shared, Call::State { job }, give_up_at).await {
-        Answer::State(state) => json(StatusCode::OK, shared.services.codec.write_state(state)),
-        Answer::UnknownJob => refuse(StatusCode::GONE, "there is no such job"),
-        answer => give_up("state", job, answer),
+    match calls::call_owner(shared, Call::State { job }, deadline).await {
+        Answer::State(state) => {
+            json_response(StatusCode::OK, shared.services.codec.write_state(state))
+        }
+        Answer::UnknownJob => error_response(StatusCode::GONE, "no job has this id"),
+        answer => failed_call_response("state", job, answer),
     }
 }
 
+/// Cancels a job.
 async fn cancel<P: Platform>(
     shared: &Rc<Shared<P>>,
     job: JobId,
-    give_up_at: Instant,
+    deadline: Instant,
 ) -> Response<Body> {
-    match calls::call_owner(shared, Call::Cancel { job }, give_up_at).await {
+    match calls::call_owner(shared, Call::Cancel { job }, deadline).await {
         Answer::Cancelled => {
-            json(StatusCode::OK, shared.services.codec.write_state(JobState::Cancelled))
+            json_response(StatusCode::OK, shared.services.codec.write_state(JobState::Cancelled))
         }
-        Answer::UnknownJob => refuse(StatusCode::GONE, "there is no such job"),
-        answer => give_up("cancel", job, answer),
+        Answer::UnknownJob => error_response(StatusCode::GONE, "no job has this id"),
+        answer => failed_call_response("cancel", job, answer),
     }
 }
 
-/// The answer to a call that brought none in time.
-fn give_up(what: &str, job: JobId, answer: Answer) -> Response<Body> {
-    log::warn!(job = job.to_string(), call = what, answer:? = answer; "front: a call failed");
+/// Returns the response to a call that failed.
+fn failed_call_response(operation: &str, job: JobId, answer: Answer) -> Response<Body> {
+    log::warn!(job = job.to_string(), call = operation, answer:? = answer; "front: a call failed");
     match answer {
-        Answer::InDoubt => {
-            refuse(StatusCode::GATEWAY_TIMEOUT, "it may have been done: ask again with the same id")
+        Answer::InDoubt => error_response(
+            StatusCode::GATEWAY_TIMEOUT,
+            "the request may have taken effect: repeat it with the same id",
+        ),
+        Answer::Refused => {
+            refused_job_response(job, "the job was not accepted: submit it again later")
         }
-        Answer::Refused => refuse_job(job, "it was not taken: hand it in again later"),
-        _ => refuse(StatusCode::SERVICE_UNAVAILABLE, "it was not done: ask again later"),
+        _ => error_response(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "the request had no effect: repeat it later",
+        ),
     }
 }
 
@@ -256,12 +289,15 @@
     match time::timeout(timeout, body).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
-            Err(closing(refuse(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long")))
+            Err(closing(error_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long")))
         }
         Ok(Err(error)) => {
-            log::debug!("front: a body can't be read: {error}");
-            Err(closing(refuse(StatusCode::BAD_REQUEST, "the body can't be read")))
+            log::debug!("front: can't read a request body: {error}");
+            Err(closing(error_response(StatusCode::BAD_REQUEST, "the body can't be read")))
         }
-        Err(_) => Err(closing(refuse(StatusCode::REQUEST_TIMEOUT, "the body came too slowly"))),
+        Err(_) => Err(closing(error_response(
+            StatusCode::REQUEST_TIMEOUT,
+            "the body was not received in time",
+        ))),
     }
 }
--- a/crates/kitetraild/src/fleet/peers/channel.rs
+++ b/crates/kitetraild/src/fleet/peers/channel.rs
@@ -99,7 +99,8 @@
         silent.discarded.notify_waiters();
         self.silences.note(SERVICE);
         log::info!(
-            service = SERVICE, host = silent.peer.to_string(), after_ms = timeout.as_millis() as u64;
+            service = SERVICE, host = silent.peer.to_string(),
+            after_ms = timeout.as_millis() as u64;
             "connections: silent, later calls go on new ones"
         );
     }
--- a/crates/kitetraild/src/fleet/peers/client.rs
+++ b/crates/kitetraild/src/fleet/peers/client.rs
@@ -91,7 +91,10 @@
                 answer.reached
             }
             Err(status) => {
-                log::debug!(peer = peer.to_string(); "peer: the check whether a box reaches the store failed: {status}");
+                log::debug!(
+                    peer = peer.to_string();
+                    "peer: the check whether a box reaches the store failed: {status}"
+                );
                 false
             }
         }
--- a/crates/kitetraild/src/fleet/responses.rs
+++ b/crates/kitetraild/src/fleet/responses.rs
@@ -1,4 +1,4 @@
-//! Answers to callers, as HTTP.
+//! Builds HTTP responses to callers.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -8,50 +8,50 @@
 };
 use kitetrail_core::jobs::JobId;
 
-/// When a caller whose request was not run should come back, in seconds.
-const COME_BACK_S: &str = "1";
+/// The `Retry-After` of requests that were not run, in seconds.
+const RETRY_AFTER_S: &str = "1";
 
-/// Over how many seconds more the callers of refused jobs are spread, so that they don't return at once: as
-/// long as an overloaded owner needs to take jobs again.
-const SPREAD_S: u64 = 3;
+/// The number of seconds over which retries of refused jobs are spread, so that they don't arrive at the
+/// same time. An overloaded owner accepts jobs again within this time.
+const RETRY_SPREAD_S: u64 = 3;
 
-/// The body of an answer.
+/// The body of a response.
 pub(super) type Body = Full<Bytes>;
 
-/// The same answer, after which the connection ends.
+/// Returns the response with a header that closes the connection after it.
 pub(super) fn closing(mut response: Response<Body>) -> Response<Body> {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-/// An answer that says why something is not done.
-pub(super) fn refuse(status: StatusCode, why: &str) -> Response<Body> {
-    let body = serde_json::json!({ "error": why }).to_string();
-    let mut response = json(status, Bytes::from(body));
+/// Returns an error response, with the reason in its JSON body.
+pub(super) fn error_response(status: StatusCode, reason: &str) -> Response<Body> {
+    let body = serde_json::json!({ "error": reason }).to_string();
+    let mut response = json_response(status, Bytes::from(body));
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(COME_BACK_S));
+        response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
     }
     response
 }
 
-/// The answer to a job that was refused: when its caller should come back follows from the job's id.
-pub(super) fn refuse_job(job: JobId, why: &str) -> Response<Body> {
-    let mut response = refuse(StatusCode::SERVICE_UNAVAILABLE, why);
-    let come_back_s = HeaderValue::from(1 + job.0 % SPREAD_S);
-    response.headers_mut().insert(RETRY_AFTER, come_back_s);
+/// Returns the response to a refused job. Its `Retry-After` is derived from the job's id.
+pub(super) fn refused_job_response(job: JobId, reason: &str) -> Response<Body> {
+    let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, reason);
+    let retry_after_s = HeaderValue::from(1 + job.0 % RETRY_SPREAD_S);
+    response.headers_mut().insert(RETRY_AFTER, retry_after_s);
     response
 }
 
-/// An answer with a body that is JSON.
-pub(super) fn json(status: StatusCode, body: Bytes) -> Response<Body> {
+/// Returns a response with a JSON body.
+pub(super) fn json_response(status: StatusCode, body: Bytes) -> Response<Body> {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-/// An answer without a body.
-pub(super) fn empty(status: StatusCode) -> Response<Body> {
+/// Returns a response without a body.
+pub(super) fn empty_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
--- a/crates/kitetraild/src/fleet/settings.rs
+++ b/crates/kitetraild/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! What a box of the fleet is told at its start.
+//! The settings of a box of the fleet.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,38 +6,38 @@
 
 use super::ConnectionLimits;
 
-/// Where a box answers.
+/// The addresses on which a box listens.
 #[derive(Debug, Clone)]
 pub struct Listen {
-    /// Callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// The question whether it takes new connections.
+    /// The address of the readiness check.
     pub ready: SocketAddr,
-    /// Other boxes.
+    /// The address for other boxes.
     pub peers: SocketAddr,
-    /// Counters, and how things stand.
+    /// The address of the metrics.
     pub metrics: SocketAddr,
 }
 
-/// What a box of the fleet is told at its start.
+/// The settings of a box of the fleet.
 #[derive(Debug, Clone)]
 pub struct FleetSettings {
     /// The box's name.
     pub box_name: String,
-    /// Where it answers.
+    /// The addresses on which the box listens.
     pub listen: Listen,
-    /// The path of the question whether it takes new connections.
+    /// The path of the readiness check.
     pub ready_path: String,
-    /// How often workers renew their entries in the list.
+    /// The interval at which workers renew their entries in the list.
     pub worker_heartbeat: Duration,
     /// The longest lease that workers grant.
     pub longest_lease: Duration,
-    /// How long the state of a job that ended is told.
+    /// The time for which the state of an ended job is kept.
     pub remember_ended: Duration,
-    /// How many workers the box can own.
+    /// The number of workers that the box can manage as the owner.
     pub strength: BoxStrength,
-    /// How long connections may be silent.
+    /// The timeouts of connections.
     pub limits: ConnectionLimits,
-    /// How long a box that is told to stop may take.
+    /// The time within which a box must stop after it was asked to.
     pub stop_within: Duration,
 }
--- a/crates/kitetraild/src/fleet/workers_watch.rs
+++ b/crates/kitetraild/src/fleet/workers_watch.rs
@@ -1,4 +1,4 @@
-//! Tells the owner how the list of workers changes.
+//! Watches the list of workers and sends its changes to the owner.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,117 +18,127 @@
 use super::{Platform, owner::OwnerMessage, shared::Shared};
 use crate::metrics::Metrics;
 
-/// How long to wait between calls that brought changes. Workers change their entries about once a
-/// second each, so with hundreds of them each call would bring one or two, at the price of a call.
-/// A worker that drains may be given work for 2 s after its entry says so.
-const GATHER: Duration = Duration::from_millis(150);
-/// How long to wait after a call that failed.
-const RETRY: Duration = Duration::from_millis(250);
+/// The delay between calls that returned changes, to batch the changes. Each worker changes its entry
+/// about once a second, so with hundreds of workers each call would otherwise return one or two changes.
+/// The delay is well within the 2 s in which a draining worker may still be given work.
+const BATCH_DELAY: Duration = Duration::from_millis(150);
+/// The delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// What changed and where to go on, `None` there to list anew; `None` at all if the call failed.
+/// The changes and the version to watch from, `None` if the workers must be listed again. The outer
+/// `None` stands for a failed call.
 type Changes = Option<(Vec<Discovery>, Option<u64>)>;
 
-/// An entry that the owner was told.
-struct Known {
+/// An entry that was sent to the owner.
+struct KnownEntry {
     entry: WorkerEntry,
-    /// When it changed last: workers change theirs with each heartbeat.
+    /// When the entry last changed. Workers change their entries with each heartbeat.
     renewed_at: Time,
 }
 
-/// The entries that the owner was told.
+/// The entries that were sent to the owner.
 #[derive(Default)]
-struct Entries {
-    workers: BTreeMap<LifeId, Known>,
-    /// Those that name no worker to use, and why.
+struct KnownEntries {
+    workers: BTreeMap<LifeId, KnownEntry>,
+    /// The entries that can't be used, with the reason.
     unusable: BTreeMap<LifeId, EntryFault>,
 }
 
-impl Entries {
-    /// Takes note of an entry that names no worker to use. `None`: it was told already.
-    fn note_unusable(&mut self, entry: UnusableEntry, metrics: &Metrics) -> Option<Discovery> {
+impl KnownEntries {
+    /// Records an unusable entry. Returns `None` if the owner already knows it.
+    fn record_unusable(&mut self, entry: UnusableEntry, metrics: &Metrics) -> Option<Discovery> {
         let UnusableEntry { id, fault } = entry;
         if self.unusable.get(&id) == Some(&fault) {
             return None;
         }
         log::warn!(
             worker = id.as_str(), reason = fault.reason();
-            "worker: its entry can't be its own, it gets nothing new: {fault}"
+            "worker: its entry is unusable, so it is given no new work: {fault}"
         );
         metrics.note_unusable_entry(fault.reason());
-        // An entry like the last one is told again.
+        // If the previous entry returns, it must be sent again.
         self.workers.remove(&id);
         let is_new = self.unusable.insert(id.clone(), fault).is_none();
         is_new.then_some(Discovery::Unusable(id))
     }
 }
 
-/// Follows the list until the owner is gone.
+/// Watches the list until the owner stops.
 pub(super) async fn run<P: Platform>(shared: Rc<Shared<P>>, owner: mpsc::Sender<OwnerMessage>) {
-    let mut known = Entries::default();
+    let mut known = KnownEntries::default();
     let mut version = None;
     while !owner.is_closed() {
         let changes = match version {
-            None => list(&shared, &mut known).await,
-            Some(version) => follow(&shared, version, &mut known).await,
+            None => list_workers(&shared, &mut known).await,
+            Some(version) => watch_workers(&shared, version, &mut known).await,
         };
         match changes {
             Some((changes, next)) => {
                 version = next;
-                let any = !changes.is_empty();
-                let discovered = OwnerMessage::Event(Event::Discovered(changes));
-                if any && owner.send(discovered).await.is_err() {
+                let has_changes = !changes.is_empty();
+                let event = OwnerMessage::Event(Event::Discovered(changes));
+                if has_changes && owner.send(event).await.is_err() {
                     return;
                 }
-                time::sleep(GATHER).await;
+                time::sleep(BATCH_DELAY).await;
             }
-            None => time::sleep(RETRY).await,
+            None => time::sleep(RETRY_DELAY).await,
         }
     }
 }
 
-async fn list<P: Platform>(shared: &Rc<Shared<P>>, known: &mut Entries) -> Changes {
+/// Lists all workers.
+async fn list_workers<P: Platform>(shared: &Rc<Shared<P>>, known: &mut KnownEntries) -> Changes {
     let listed = shared.services.store.workers().await;
     shared.note_store(&listed);
     let ListedWorkers { entries, unusable, version } = listed.ok()?;
     let ids = entries.iter().map(|entry| &entry.id).chain(unusable.iter().map(|entry| &entry.id));
     let ids = ids.collect::<BTreeSet<_>>();
-    let told_before = known.workers.keys().chain(known.unusable.keys());
-    let gone = told_before.filter(|id| !ids.contains(id)).cloned().collect::<Vec<_>>();
+    let known_ids = known.workers.keys().chain(known.unusable.keys());
+    let gone = known_ids.filter(|id| !ids.contains(id)).cloned().collect::<Vec<_>>();
     let now = shared.clock.now();
-    let mut told = changes(known, Vec::new(), gone, now);
-    // The whole list is told, also what was told before: whatever the owner believes, it is put right.
+    let mut discoveries = changes(known, Vec::new(), gone, now);
+    // The complete list is sent, including known entries, which corrects any difference in the owner.
     known.workers.clear();
-    told.extend(changes(known, entries, Vec::new(), now));
-    told.extend(unusable.iter().map(|entry| Discovery::Unusable(entry.id.clone())));
+    discoveries.extend(changes(known, entries, Vec::new(), now));
+    discoveries.extend(unusable.iter().map(|entry| Discovery::Unusable(entry.id.clone())));
     for entry in unusable {
-        known.note_unusable(entry, &shared.metrics);
+        known.record_unusable(entry, &shared.metrics);
     }
-    told.push(Discovery::Whole);
-    Some((told, Some(version)))
+    discoveries.push(Discovery::Whole);
+    Some((discoveries, Some(version)))
 }
 
-async fn follow<P: Platform>(shared: &Rc<Shared<P>>, version: u64, known: &mut Entries) -> Changes {
+/// Waits for changes after a version.
+async fn watch_workers<P: Platform>(
+    shared: &Rc<Shared<P>>,
+    version: u64,
+    known: &mut KnownEntries,
+) -> Changes {
     let wait = shared.settings.limits.workers_wait;
     let followed = shared.services.store.worker_changes(version, wait).await;
     shared.note_store(&followed);
     match followed.ok()? {
         WorkerChanges::HistoryGone => {
-            log::info!(version = version; "store: forgot its history, the workers are listed anew");
+            log::info!(
+                version = version;
+                "store: the history after this version is gone, the workers are listed again"
+            );
             Some((Vec::new(), None))
         }
         WorkerChanges::Changed { listed, unusable, gone, version } => {
-            let mut told = changes(known, listed, gone, shared.clock.now());
+            let mut discoveries = changes(known, listed, gone, shared.clock.now());
             let unusable = unusable.into_iter();
-            told.extend(unusable.filter_map(|entry| known.note_unusable(entry, &shared.metrics)));
-            Some((told, Some(version)))
+            discoveries
+                .extend(unusable.filter_map(|entry| known.record_unusable(entry, &shared.metrics)));
+            Some((discoveries, Some(version)))
         }
     }
 }
 
-/// What of the entries listed and gone the owner does not know yet. Most changes of entries are signs
-/// of life alone.
+/// Returns the changes that the owner does not know yet. Most changes of entries are only heartbeats.
 fn changes(
-    known: &mut Entries,
+    known: &mut KnownEntries,
     listed: Vec<WorkerEntry>,
     gone: Vec<LifeId>,
     now: Time,
@@ -141,11 +151,11 @@
     }
     for entry in listed {
         if known.unusable.remove(&entry.id).is_some() {
-            log::info!(worker = entry.id.as_str(); "worker: its entry is its own again");
+            log::info!(worker = entry.id.as_str(); "worker: its entry is usable again");
         }
-        let renewed = Known { entry: entry.clone(), renewed_at: now };
-        let told = known.workers.insert(entry.id.clone(), renewed);
-        if told.is_none_or(|told| told.entry != entry) {
+        let renewed = KnownEntry { entry: entry.clone(), renewed_at: now };
+        let previous = known.workers.insert(entry.id.clone(), renewed);
+        if previous.is_none_or(|previous| previous.entry != entry) {
             changes.push(Discovery::Listed(Box::new(entry)));
         }
     }
