--- a/crates/kitetrail-core/tests/fleet/crashes.rs
+++ b/crates/kitetrail-core/tests/fleet/crashes.rs
@@ -1,4 +1,4 @@
-//! Workers that crash, by a task's doing or by themselves, and come back under another id or the same one.
+//! Simulates workers that crash, because of a task or on their own, and return under the same id or another one.
 
 use std::{collections::BTreeMap, mem, time::Duration};
 
@@ -9,111 +9,114 @@
 
 use super::{Mood, World};
 
-/// How long a worker that crashed takes to come back, unless it is told otherwise.
-const BACK_AFTER: Duration = Duration::from_millis(3_000);
-/// When the entry of a worker that crashed lapses, after the crash.
-const LAPSES_AFTER: Duration = Duration::from_millis(3_300);
+/// The default time until a crashed worker returns.
+const DEFAULT_RETURN_DELAY: Duration = Duration::from_millis(3_000);
+/// The time from a crash until the worker's entry lapses.
+const LAPSE_DELAY: Duration = Duration::from_millis(3_300);
 
-/// Tasks that crash their workers, and what came of it.
+/// The tasks that crash their workers, and a record of the crashes.
 #[derive(Debug)]
 pub struct Crashes {
-    /// After how much of its work a task crashes its worker.
+    /// The tasks that crash their workers, with the amount of work after which they do.
     pub tasks: BTreeMap<TaskName, Duration>,
-    /// How long a worker that crashed takes to come back.
+    /// The time until a crashed worker returns.
     pub back_after: Duration,
-    /// A worker that crashed comes back under its id, not under another one.
+    /// Whether a crashed worker returns under its old id instead of a new one.
     pub same_id: bool,
-    /// Crashes by a task's doing, in order: when, by which task, which worker.
-    pub by_tasks: Vec<(Time, TaskName, String)>,
-    /// How many runs of other tasks were lost in crashes.
+    /// The crashes caused by tasks, in order: the time, the task and the worker.
+    pub caused_by_tasks: Vec<(Time, TaskName, String)>,
+    /// The number of runs of other tasks that were lost in these crashes.
     pub lost_beside: u32,
-    /// Workers that are to come back, and when.
-    down: Vec<(Time, String)>,
-    /// Entries that are to lapse, and when.
+    /// The crashed workers, with the time of their return.
+    returning: Vec<(Time, String)>,
+    /// The entries of crashed workers, with the time at which they lapse.
     lapsing: Vec<(Time, String)>,
-    lives: u32,
+    /// The number of workers that have returned, for new ids.
+    return_count: u32,
 }
 
 impl Default for Crashes {
     fn default() -> Self {
         Self {
             tasks: BTreeMap::new(),
-            back_after: BACK_AFTER,
+            back_after: DEFAULT_RETURN_DELAY,
             same_id: false,
-            by_tasks: Vec::new(),
+            caused_by_tasks: Vec::new(),
             lost_beside: 0,
-            down: Vec::new(),
+            returning: Vec::new(),
             lapsing: Vec::new(),
-            lives: 0,
+            return_count: 0,
         }
     }
 }
 
 impl World {
-    /// Makes a task crash each worker that starts it, 10 ms later.
+    /// Makes a task crash each of its workers after 10 ms of work.
     pub fn make_crashing(&mut self, name: TaskName) {
         self.make_crashing_after(name, Duration::from_millis(10));
     }
 
-    /// Makes a task crash each worker that starts it, after some of its work.
+    /// Makes a task crash each of its workers after an amount of work.
     pub fn make_crashing_after(&mut self, name: TaskName, after: Duration) {
         self.crashes.tasks.insert(name, after);
     }
 
-    /// A worker crashes, whatever it runs. It comes back under another id.
+    /// Crashes a worker, whatever it runs. It returns after `back_after`.
     pub fn crash(&mut self, id: &str) {
         let (now, back_after) = (self.now, self.crashes.back_after);
         self.worker(id).crash();
-        self.crashes.down.push((now + back_after, id.to_owned()));
-        self.crashes.lapsing.push((now + LAPSES_AFTER, id.to_owned()));
+        self.crashes.returning.push((now + back_after, id.to_owned()));
+        self.crashes.lapsing.push((now + LAPSE_DELAY, id.to_owned()));
     }
 
-    /// How often a task crashed its worker.
+    /// Returns the number of crashes that a task caused.
     pub fn crashes_of(&self, name: TaskName) -> usize {
-        self.crashes.by_tasks.iter().filter(|(_, task, _)| *task == name).count()
+        self.crashes.caused_by_tasks.iter().filter(|(_, task, _)| *task == name).count()
     }
 
-    /// How often a task was started after it had crashed a worker for the third time.
+    /// Returns the number of starts of a task after its third crash.
     pub fn starts_after_third_crash(&self, name: TaskName) -> usize {
-        let mut crashes = self.crashes.by_tasks.iter().filter(|(_, task, _)| *task == name);
+        let mut crashes = self.crashes.caused_by_tasks.iter().filter(|(_, task, _)| *task == name);
         let Some(third) = crashes.nth(2).map(|(at, ..)| *at) else { return 0 };
         self.starts.iter().filter(|(at, task, ..)| *task == name && *at > third).count()
     }
 
-    /// How often the scheduler counted a crash against a task.
+    /// Returns the number of crashes that the scheduler counted against tasks.
     pub fn crashes_noticed(&self) -> usize {
-        let counted = |note: &Note| matches!(note, Note::CrashedUnder { .. });
-        self.notes.iter().filter(|(_, note)| counted(note)).count()
+        let is_crash = |note: &Note| matches!(note, Note::CrashedUnder { .. });
+        self.notes.iter().filter(|(_, note)| is_crash(note)).count()
     }
 
+    /// Advances crashes, returns and lapses by one step of the clock.
     pub(super) fn step_crashes(&mut self) {
-        self.crash_by_tasks();
+        self.crash_workers_of_tasks();
         let now = self.now;
-        for id in take_due(&mut self.crashes.down, now) {
-            self.crashes.lives += 1;
-            let again = match self.crashes.same_id {
+        for id in take_due(&mut self.crashes.returning, now) {
+            self.crashes.return_count += 1;
+            let new_id = match self.crashes.same_id {
                 true => id.clone(),
-                false => format!("{id}+{}", self.crashes.lives),
+                false => format!("{id}+{}", self.crashes.return_count),
             };
             match self.crashes.same_id {
                 true => drop(self.restart(&id)),
-                false => drop(self.reborn(&id, &again)),
+                false => drop(self.reborn(&id, &new_id)),
             }
-            let entry = self.worker(&again).entry.clone();
+            let entry = self.worker(&new_id).entry.clone();
             self.list(entry);
         }
         for id in take_due(&mut self.crashes.lapsing, now) {
-            let is_back = self.workers.get(&id).is_some_and(|worker| worker.mood != Mood::Down);
-            if is_back {
+            let has_returned =
+                self.workers.get(&id).is_some_and(|worker| worker.mood != Mood::Down);
+            if has_returned {
                 continue;
             }
-            let silent_for = Some(LAPSES_AFTER);
+            let silent_for = Some(LAPSE_DELAY);
             let gone = Discovery::Gone { id: id.as_str().into(), silent_for };
             self.tell(Event::Discovered(vec![gone]));
         }
     }
 
-    /// The other members of a gang end where one of them is lost.
+    /// Ends the other members of a gang after one of them was lost.
     fn break_gang(&mut self, name: TaskName) {
         let spec = self.specs.get(&name.job).and_then(|spec| spec.steps.get(name.step as usize));
         if !spec.is_some_and(|step| step.gang) {
@@ -121,23 +124,24 @@
         }
         let now = self.now;
         for worker in self.workers.values_mut() {
-            worker.break_step(now, name);
+            worker.end_gang_members(now, name);
         }
     }
 
-    fn crash_by_tasks(&mut self) {
-        let mut crashed = Vec::new();
+    /// Crashes the workers whose crashing tasks have done enough work.
+    fn crash_workers_of_tasks(&mut self) {
+        let mut causes = Vec::new();
         for (id, worker) in &self.workers {
-            let mut by = worker.running.iter().filter_map(|(name, running)| {
+            let mut crashing_tasks = worker.running.iter().filter_map(|(name, running)| {
                 let after = self.crashes.tasks.get(name)?;
                 (u128::from(running.done_ms) >= after.as_millis()).then_some(*name)
             });
-            if let Some(name) = by.next() {
-                crashed.push((name, id.clone(), worker.running.len() as u32 - 1));
+            if let Some(name) = crashing_tasks.next() {
+                causes.push((name, id.clone(), worker.running.len() as u32 - 1));
             }
         }
-        for (name, id, beside) in crashed {
-            self.crashes.by_tasks.push((self.now, name, id.clone()));
+        for (name, id, beside) in causes {
+            self.crashes.caused_by_tasks.push((self.now, name, id.clone()));
             self.crashes.lost_beside += beside;
             self.crash(&id);
             self.break_gang(name);
@@ -145,7 +149,7 @@
     }
 }
 
-/// Takes out what is due.
+/// Removes the items that are due and returns them.
 fn take_due(waiting: &mut Vec<(Time, String)>, now: Time) -> Vec<String> {
     let (due, later) = mem::take(waiting).into_iter().partition(|(at, _)| *at <= now);
     *waiting = later;
--- a/crates/kitetrail-core/tests/fleet/mod.rs
+++ b/crates/kitetrail-core/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet on virtual time: workers, a store, and the scheduler.
+//! A simulated fleet on virtual time: workers, a store and the scheduler.
 #![allow(dead_code, unused_imports, reason = "each test file uses a part")]
 
 mod crashes;
@@ -29,95 +29,95 @@
 use owners::scheduler;
 pub use predecessor::{InFlight, Predecessor};
 pub use processor::Processor;
-use restarts::ToldKept;
+use restarts::AcknowledgedEnds;
 pub use specs::{job, queue, step, task};
 pub use worker::{FakeWorker, Mood};
-use worker::{Work, hold_across_cut};
+use worker::{Work, answer_unreachable_hold};
 
-/// The time of day when the virtual clock stands at zero, in milliseconds since 1970.
+/// The Unix time at which the virtual clock is zero, in milliseconds.
 pub const DAY_UNIX_MS: u64 = 1_780_000_000_000;
-/// A fencing token of the owner with epoch 9: owners count above 2^20 times their epoch.
+/// A fencing token of the owner with epoch 9. Tokens of an owner start at 2^20 times its epoch.
 pub const TOKEN_OF_LATER_OWNER: u64 = 9 << 20;
 /// One step of the virtual clock.
 pub const STEP: Duration = Duration::from_millis(10);
-/// The most records that the store takes in one batch: of 100 entries the owner's own rows need a few.
-const MOST_RECORDS: usize = 95;
-/// How long the store takes, unless it is told otherwise.
-const STORE: Duration = Duration::from_millis(10);
+/// The largest number of records in a batch: the store allows 100 entries, of which the owner's own rows need a few.
+const MAX_BATCH_RECORDS: usize = 95;
+/// The default time that the store takes to commit a batch.
+const DEFAULT_STORE_LATENCY: Duration = Duration::from_millis(10);
 
-/// The fleet.
+/// A simulated fleet.
 pub struct World {
     pub now: Time,
     pub scheduler: Scheduler,
     pub workers: BTreeMap<String, FakeWorker>,
     pub notes: Vec<(Time, Note)>,
     pub answers: Vec<(Time, Action)>,
-    /// Starts, in order: when, which task and run, on which worker.
+    /// The starts of runs, in order: the time, the task, the run and the worker.
     pub starts: Vec<(Time, TaskName, u32, String)>,
-    /// Orders to start that left the scheduler, in order: when, which task, to which worker.
+    /// The start orders that the scheduler sent, in order: the time, the task and the worker.
     pub start_orders: Vec<(Time, TaskName, String)>,
-    /// What the store keeps.
+    /// The contents of the store: this field and the next three.
     pub jobs: BTreeMap<JobId, JobRecord>,
     pub progress: BTreeMap<JobId, ProgressRecord>,
     pub lives: BTreeMap<String, LifeRecord>,
     pub effects: EffectsRecord,
-    /// Tasks that crash their workers, and what came of it.
+    /// The tasks that crash their workers, and a record of the crashes.
     pub crashes: Crashes,
-    /// Workers' lives that crashed and whose machines live anew: there another life answers.
-    over: BTreeSet<String>,
-    /// Holds that reached such a machine.
-    held_by_another: Vec<(LifeNo, Hold, Time)>,
-    /// Holds whose connection broke as their worker crashed.
-    broken_holds: Vec<(LifeNo, Hold, Time)>,
-    /// How long answers to orders are on their way back.
+    /// Lives of workers that crashed and were replaced: on their machines a new life answers.
+    replaced_lives: BTreeSet<String>,
+    /// The holds for replaced lives, which reached the new life.
+    holds_to_replaced_lives: Vec<(LifeNo, Hold, Time)>,
+    /// The holds whose connection broke when their worker crashed.
+    interrupted_holds: Vec<(LifeNo, Hold, Time)>,
+    /// The delay of answers to orders.
     pub order_answers_take: Duration,
     order_answers: VecDeque<(Time, Event)>,
-    /// How often workers started again under their ids.
+    /// The number of restarts of workers under their ids.
     restarts: u64,
-    /// What workers were told is kept, by task.
-    told_kept: ToldKept,
-    /// The store answers nothing.
+    /// The ends of runs that were acknowledged to workers, by task.
+    acknowledged_ends: AcknowledgedEnds,
+    /// Whether the store is unavailable.
     pub store_down: bool,
-    /// How long it takes over a batch.
+    /// The time that the store takes to commit a batch.
     pub store_takes: Duration,
-    /// Work of a task, in milliseconds, if it is not its estimate.
+    /// The work of a task, in milliseconds, if it differs from its estimate.
     pub work_ms: Option<u64>,
-    /// After how long a task that lasts ends by itself, in milliseconds.
+    /// The time after which a long-running task ends on its own, in milliseconds.
     pub lasting_ms: u64,
-    /// The tail that a serving task on a worker reports, in milliseconds, by what fills there.
+    /// The tail latency that a serving task reports, in milliseconds, depending on the tasks that fill its worker.
     pub tail_ms: fn(&FakeWorker) -> u32,
     pub deposed: bool,
-    /// Workers that the owner does not reach.
+    /// The workers that the owner can't reach.
     pub cut_from: BTreeSet<String>,
-    /// The owner before, while it does not know that it was succeeded.
+    /// The previous owner, while it does not know that it was replaced.
     pub predecessor: Option<Predecessor>,
-    /// The processor time of the owner, if it has a bounded one.
+    /// The processor time of the owner, if it is limited.
     pub processor: Option<Processor>,
-    /// How many events the scheduler took.
+    /// The number of events that the scheduler handled.
     pub events: u64,
-    /// How many holds it asked for.
+    /// The number of holds that the scheduler requested.
     pub holds: u64,
     holds_by_worker: BTreeMap<String, u64>,
-    /// How many of their answers told of nothing but ends that were told before.
+    /// The number of answers to holds that reported only ends reported before.
     pub stale_answers: u64,
-    /// The time that it took over them, by the machine's clock.
+    /// The real time that the scheduler spent on events.
     pub spent: Duration,
-    /// How often it allocated memory over them.
+    /// The number of memory allocations of the scheduler.
     pub allocations: u64,
     batches: VecDeque<(Time, u64, Vec<Record>)>,
     next_request: u64,
     specs: BTreeMap<JobId, JobSpec>,
-    /// Which job a request handed in.
-    handed_in: BTreeMap<RequestNo, JobId>,
+    /// The jobs submitted by requests.
+    submitted_jobs: BTreeMap<RequestNo, JobId>,
 }
 
 impl World {
-    /// A fleet of workers with four cores each, and a scheduler that knows them.
+    /// Creates a fleet of workers with four cores each, and a scheduler that knows them.
     pub fn new(workers: u32) -> Self {
         Self::with_workers((0..workers).map(FakeWorker::new))
     }
 
-    /// A fleet of given workers, and a scheduler that knows them.
+    /// Creates a fleet of the given workers, and a scheduler that knows them.
     pub fn with_workers(workers: impl IntoIterator<Item = FakeWorker>) -> Self {
         let by_id = |worker: FakeWorker| (worker.entry.id.to_string(), worker);
         let mut world = Self {
@@ -133,15 +133,15 @@
             lives: BTreeMap::new(),
             effects: EffectsRecord::default(),
             crashes: Crashes::default(),
-            over: BTreeSet::new(),
-            held_by_another: Vec::new(),
-            broken_holds: Vec::new(),
+            replaced_lives: BTreeSet::new(),
+            holds_to_replaced_lives: Vec::new(),
+            interrupted_holds: Vec::new(),
             order_answers_take: Duration::ZERO,
             order_answers: VecDeque::new(),
             restarts: 0,
-            told_kept: ToldKept::default(),
+            acknowledged_ends: AcknowledgedEnds::default(),
             store_down: false,
-            store_takes: STORE,
+            store_takes: DEFAULT_STORE_LATENCY,
             work_ms: None,
             lasting_ms: 600_000,
             tail_ms: |_| 10,
@@ -158,21 +158,21 @@
             batches: VecDeque::new(),
             next_request: 0,
             specs: BTreeMap::new(),
-            handed_in: BTreeMap::new(),
+            submitted_jobs: BTreeMap::new(),
         };
         world.list_all();
         world.run_ms(200);
         world
     }
 
-    /// Hands a job in.
+    /// Submits a job.
     pub fn submit(&mut self, id: u64, spec: JobSpec) -> RequestNo {
         let request = self.request();
         if self.state(id).is_none() {
-            self.told_kept.forget(JobId(id));
+            self.acknowledged_ends.remove_job(JobId(id));
         }
         self.specs.insert(JobId(id), spec.clone());
-        self.handed_in.insert(request, JobId(id));
+        self.submitted_jobs.insert(request, JobId(id));
         let (job, queue) = (JobId(id), queue());
         self.tell(Event::Submit { request, job, queue, spec: Box::new(spec) });
         request
@@ -185,12 +185,12 @@
         request
     }
 
-    /// What callers are told of a job.
+    /// Returns the state of a job that callers see.
     pub fn state(&self, id: u64) -> Option<JobState> {
         self.scheduler.state(JobId(id))
     }
 
-    /// How a job ended, as the log says, also after it was forgotten.
+    /// Returns the final state of a job from the scheduler's notes, even if the scheduler has dropped the job.
     pub fn ended_as(&self, id: u64) -> Option<JobState> {
         self.notes.iter().rev().find_map(|(_, note)| match note {
             Note::JobEnded { job, state, .. } if *job == JobId(id) => Some(*state),
@@ -198,23 +198,23 @@
         })
     }
 
-    /// How long after a moment a job was completed, `None` if it was not.
+    /// Returns the time from a moment until a job was completed, `None` if it was not.
     pub fn completed_after(&self, id: u64, moment: Time) -> Option<Duration> {
-        let is_it = |note: &Note| matches!(note, Note::JobEnded { job, state: JobState::Completed, .. } if *job == JobId(id));
-        let ended = self.notes.iter().find(|(_, note)| is_it(note));
+        let completes_job = |note: &Note| matches!(note, Note::JobEnded { job, state: JobState::Completed, .. } if *job == JobId(id));
+        let ended = self.notes.iter().find(|(_, note)| completes_job(note));
         ended.map(|(at, _)| at.since(moment))
     }
 
-    /// When a request was answered.
+    /// Returns when a request was answered.
     pub fn answered(&self, request: RequestNo) -> Option<Time> {
-        let is_it = |action: &Action| match action {
+        let answers_request = |action: &Action| match action {
             Action::AnswerSubmit(no, _) | Action::AnswerCancel(no, _) => *no == request,
             _ => false,
         };
-        self.answers.iter().find(|(_, action)| is_it(action)).map(|(at, _)| *at)
+        self.answers.iter().find(|(_, action)| answers_request(action)).map(|(at, _)| *at)
     }
 
-    /// Whether a job that was handed in was refused, `None` if there is no answer yet.
+    /// Returns whether a submission was refused, `None` if it has no answer yet.
     pub fn refused(&self, request: RequestNo) -> Option<bool> {
         self.answers.iter().find_map(|(_, action)| match action {
             Action::AnswerSubmit(no, answer) if *no == request => {
@@ -224,12 +224,12 @@
         })
     }
 
-    /// How many holds went to a worker.
+    /// Returns the number of holds sent to a worker.
     pub fn holds_of(&self, id: &str) -> u64 {
         self.holds_by_worker.get(id).copied().unwrap_or(0)
     }
 
-    /// Lets time pass.
+    /// Advances the clock.
     pub fn run_ms(&mut self, ms: u64) {
         let until = self.now + Duration::from_millis(ms);
         while self.now < until {
@@ -239,69 +239,72 @@
             self.step_store();
             self.step_predecessor();
             match self.processor.is_some() {
-                true => self.work_off(),
+                true => self.handle_queued_events(),
                 false => self.tell(Event::Tick),
             }
         }
     }
 
-    /// Lets time pass until something holds; panics if it does not within a minute.
-    pub fn run_until(&mut self, what: &str, holds: impl Fn(&World) -> bool) {
+    /// Advances the clock until a condition holds. Panics if it does not hold within a minute.
+    pub fn run_until(&mut self, condition: &str, holds: impl Fn(&World) -> bool) {
         let until = self.now + Duration::from_secs(60);
         while !holds(self) {
-            assert!(self.now < until, "not within a minute: {what}");
+            assert!(self.now < until, "not within a minute: {condition}");
             self.run_ms(10);
         }
     }
 
-    /// A worker, to change how it behaves.
+    /// Returns a worker, for example to change its behaviour.
     pub fn worker(&mut self, id: &str) -> &mut FakeWorker {
         self.workers.get_mut(id).expect("the fleet has this worker")
     }
 
-    /// Changes how all workers behave.
+    /// Sets the behaviour of all workers.
     pub fn set_moods(&mut self, mood: Mood) {
         self.workers.values_mut().for_each(|worker| worker.mood = mood);
     }
 
-    /// The worker that runs a task; panics if none does.
+    /// Returns the worker that runs a task. Panics if no worker does.
     pub fn worker_of(&self, name: TaskName) -> String {
         self.where_runs(name)[0].to_owned()
     }
 
-    /// Where a task runs.
+    /// Returns the workers that run a task.
     pub fn where_runs(&self, name: TaskName) -> Vec<&str> {
         let runs = self.workers.iter().filter(|(_, worker)| worker.running.contains_key(&name));
         runs.map(|(id, _)| id.as_str()).collect()
     }
 
-    /// Tells the scheduler of an event and does what it asks for, once it has the time.
+    /// Sends an event to the scheduler, which handles it at once or when its processor time allows.
     pub fn tell(&mut self, event: Event) {
         match &mut self.processor {
-            Some(processor) => processor.wait(event),
-            None => self.decide(event),
+            Some(processor) => processor.enqueue(event),
+            None => self.handle_event(event),
         }
     }
 
-    /// Lets the scheduler take as many events as it has processor time for in a step of the clock.
-    fn work_off(&mut self) {
-        while let Some(event) = self.processor.as_mut().and_then(|it| it.next(self.now)) {
-            self.decide(event);
+    /// Handles as many queued events as the processor time of one step of the clock allows.
+    fn handle_queued_events(&mut self) {
+        while let Some(event) =
+            self.processor.as_mut().and_then(|processor| processor.next(self.now))
+        {
+            self.handle_event(event);
         }
     }
 
-    fn decide(&mut self, event: Event) {
+    /// Lets the scheduler handle an event and performs its actions.
+    fn handle_event(&mut self, event: Event) {
         let unix_ms = DAY_UNIX_MS + self.now.as_ms();
         let started = Instant::now();
         let mut actions = Vec::new();
-        let allocated = allocation_counter::measure(|| {
+        let measured = allocation_counter::measure(|| {
             actions = self.scheduler.handle(event, self.now, unix_ms);
         });
         self.spent += started.elapsed();
-        self.allocations += allocated.count_total;
+        self.allocations += measured.count_total;
         self.events += 1;
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
     }
 
@@ -310,14 +313,16 @@
         RequestNo(self.next_request)
     }
 
-    fn act(&mut self, action: Action) {
+    /// Performs an action of the scheduler.
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Order { life, entry, token, lease_until_ms, order } => {
-                let answer =
-                    match self.answers_at(&entry) && !self.cut_from.contains(entry.id.as_str()) {
-                        true => self.order(entry.id.as_str(), token, lease_until_ms, &order),
-                        false => OrderAnswer::Unanswered,
-                    };
+                let answer = match self.listens_at(&entry)
+                    && !self.cut_from.contains(entry.id.as_str())
+                {
+                    true => self.deliver_order(entry.id.as_str(), token, lease_until_ms, &order),
+                    false => OrderAnswer::Unanswered,
+                };
                 let answered = Event::OrderAnswered { life, order, answer };
                 match self.order_answers_take.is_zero() {
                     true => self.tell(answered),
@@ -330,58 +335,65 @@
             Action::Hold { life, entry, hold } => {
                 self.holds += 1;
                 *self.holds_by_worker.entry(entry.id.to_string()).or_default() += 1;
-                match self.answers_at(&entry) {
-                    true => self.hold(life, entry.id.as_str(), hold),
-                    false => self.broken_holds.push((life, hold, self.now)),
+                match self.listens_at(&entry) {
+                    true => self.deliver_hold(life, entry.id.as_str(), hold),
+                    false => self.interrupted_holds.push((life, hold, self.now)),
                 }
             }
             Action::Commit { batch, records } => {
-                assert!(records.len() <= MOST_RECORDS, "{} records in a batch", records.len());
+                assert!(records.len() <= MAX_BATCH_RECORDS, "{} records in a batch", records.len());
                 self.batches.push_back((self.now + self.store_takes, batch, records));
             }
             Action::Note(note) => self.notes.push((self.now, note)),
             Action::Deposed => self.deposed = true,
             answer => {
-                self.check_kept(&answer);
+                self.check_accepted_is_stored(&answer);
                 self.answers.push((self.now, answer));
             }
         }
     }
 
-    /// Whether a worker answers where an entry says: it may have started again elsewhere.
-    fn answers_at(&self, entry: &WorkerEntry) -> bool {
+    /// Returns whether a worker still listens at the address of an entry. A restarted worker may not.
+    fn listens_at(&self, entry: &WorkerEntry) -> bool {
         let worker = self.workers.get(entry.id.as_str());
         worker.is_none_or(|worker| worker.entry.address == entry.address)
     }
 
-    /// Panics if a job is said to be accepted of which nothing is kept.
-    fn check_kept(&self, answer: &Action) {
+    /// Panics if a job is reported as accepted without a record in the store.
+    fn check_accepted_is_stored(&self, answer: &Action) {
         if let Action::AnswerSubmit(request, SubmitAnswer::Accepted) = answer {
-            let id = self.handed_in[request];
+            let id = self.submitted_jobs[request];
             let kept = self.jobs.contains_key(&id) || self.progress.contains_key(&id);
-            assert!(kept, "{id} is accepted, and nothing of it is kept");
+            assert!(kept, "{id} is accepted without a record in the store");
         }
     }
 
-    fn order(&mut self, id: &str, token: u64, lease_until_ms: u64, order: &Order) -> OrderAnswer {
+    /// Delivers an order to a worker and returns its answer.
+    fn deliver_order(
+        &mut self,
+        id: &str,
+        token: u64,
+        lease_until_ms: u64,
+        order: &Order,
+    ) -> OrderAnswer {
         let now = self.now;
-        let work = self.work(order.run().0);
+        let work = self.work_of(order.run().0);
         if let Order::Start(start) = order {
             self.start_orders.push((now, start.task, id.to_owned()));
         }
-        if self.over.contains(id) {
+        if self.replaced_lives.contains(id) {
             return OrderAnswer::LifeOver;
         }
         let worker = self.workers.get_mut(id).expect("orders go to workers of the fleet");
         match (worker.mood, order) {
             (Mood::Late | Mood::Delayed, Order::Start(_)) => {
-                worker.take_later(now + worker.late_by, token, lease_until_ms, order, work);
+                worker.defer(now + worker.late_by, token, lease_until_ms, order, work);
                 OrderAnswer::Unanswered
             }
             (Mood::Cut | Mood::Delayed | Mood::Down, _)
             | (Mood::Unstoppable, Order::Stop { .. }) => OrderAnswer::Unanswered,
             _ => {
-                let answer = worker.take(now, token, lease_until_ms, order, work);
+                let answer = worker.carry_out(now, token, lease_until_ms, order, work);
                 if let (OrderAnswer::Done { .. }, Order::Start(start)) = (answer, order) {
                     self.starts.push((now, start.task, start.run, id.to_owned()));
                 }
@@ -390,7 +402,8 @@
         }
     }
 
-    fn work(&self, name: TaskName) -> Work {
+    /// Returns the work of a task.
+    fn work_of(&self, name: TaskName) -> Work {
         let spec = self.specs.get(&name.job).map(|spec| &spec.steps[name.step as usize]);
         Work {
             work_ms: match spec.is_some_and(|step| step.lasts) {
@@ -403,85 +416,90 @@
         }
     }
 
-    fn hold(&mut self, life: LifeNo, id: &str, hold: Hold) {
+    /// Delivers a hold to a worker.
+    fn deliver_hold(&mut self, life: LifeNo, id: &str, hold: Hold) {
         let now = self.now;
-        if self.over.contains(id) {
-            self.held_by_another.push((life, hold, now));
+        if self.replaced_lives.contains(id) {
+            self.holds_to_replaced_lives.push((life, hold, now));
         }
-        self.check_ends_kept(id, hold.ends_kept);
+        self.check_acknowledged_are_stored(id, hold.ends_kept);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.held_before.extend(worker.held.replace((life, hold, now)));
+            worker.earlier_holds.extend(worker.held.replace((life, hold, now)));
         }
     }
 
-    /// Panics if a worker is told that an end is kept which the store does not hold.
-    fn check_ends_kept(&self, id: &str, told: u64) {
+    /// Panics if an end is acknowledged to a worker that is not stored.
+    fn check_acknowledged_are_stored(&self, id: &str, acknowledged: u64) {
         let ends = self.workers.get(id).into_iter().flat_map(|worker| &worker.ended);
-        for end in ends.filter(|end| end.number <= told && end.how == HowEnded::Done) {
+        for end in ends.filter(|end| end.number <= acknowledged && end.how == HowEnded::Done) {
             let name = end.task;
-            if self.work(name).lasts {
-                // It is to run until its job is cancelled: its end changes nothing.
+            if self.work_of(name).lasts {
+                // A long-running task runs until its job is cancelled, so its end changes nothing.
                 continue;
             }
-            // A job that was forgotten, or never kept, holds nothing.
+            // A dropped job, or one that was never stored, has no records.
             let Some(kept) = self.progress.get(&name.job) else {
-                assert!(!self.jobs.contains_key(&name.job), "nothing is kept of the end of {name}");
+                assert!(
+                    !self.jobs.contains_key(&name.job),
+                    "the store holds no record of the end of {name}"
+                );
                 continue;
             };
             let step = kept.occurrences.get(&name.occurrence);
             let step = step.and_then(|occurrence| occurrence.steps.get(name.step as usize));
             let is_done = step.is_none_or(|step| step.is_done(name.index));
-            assert!(is_done || kept.outcome != Outcome::Open, "the end of {name} is not kept");
+            assert!(is_done || kept.outcome != Outcome::Open, "the end of {name} is not stored");
         }
     }
 
+    /// Advances the workers by one step of the clock and sends their answers to the scheduler.
     fn step_workers(&mut self) {
         let (now, tail_ms) = (self.now, self.tail_ms);
         let mut answers = Vec::new();
         while let Some((_, answered)) = self.order_answers.pop_front_if(|(at, _)| *at <= now) {
             answers.push(answered);
         }
-        for (life, hold, sent_at) in self.held_by_another.drain(..) {
+        for (life, hold, sent_at) in self.holds_to_replaced_lives.drain(..) {
             answers.push(Event::Held { life, hold, sent_at, answer: Err(HoldFailure::LifeOver) });
         }
-        for (life, hold, sent_at) in self.broken_holds.drain(..) {
+        for (life, hold, sent_at) in self.interrupted_holds.drain(..) {
             let answer = Err(HoldFailure::Unanswered);
             answers.push(Event::Held { life, hold, sent_at, answer });
         }
-        self.mark_gangs();
+        self.mark_waiting_gangs();
         for (id, worker) in &mut self.workers {
             let is_cut = self.cut_from.contains(id);
             worker.work(now);
-            for start in worker.take_late(now) {
+            for start in worker.carry_out_deferred(now) {
                 self.starts.push((now, start.task, start.run, id.clone()));
             }
             if let Some((_, life, ended)) = worker.late_ends.take_if(|(at, ..)| *at <= now) {
                 let incarnation = worker.entry.incarnation;
                 answers.push(Event::LateEnds { life, incarnation, ended });
             }
-            let held = mem::take(&mut worker.held_before).into_iter().chain(worker.held.take());
+            let held = mem::take(&mut worker.earlier_holds).into_iter().chain(worker.held.take());
             for (life, hold, sent_at) in held.collect::<Vec<_>>() {
                 let answer = match is_cut {
-                    true => hold_across_cut(now, &hold, sent_at),
+                    true => answer_unreachable_hold(now, &hold, sent_at),
                     false => worker.answer_hold(now, (life, hold, sent_at), tail_ms),
                 };
                 if let Some(answer) = answer {
-                    self.stale_answers += u64::from(worker.tells_nothing_new(&answer));
+                    self.stale_answers += u64::from(worker.repeats_known_ends(&answer));
                     answers.push(Event::Held { life, hold, sent_at, answer });
                 } else {
-                    worker.held_before.extend(worker.held.replace((life, hold, sent_at)));
+                    worker.earlier_holds.extend(worker.held.replace((life, hold, sent_at)));
                 }
             }
         }
         for answer in answers {
             self.tell(answer);
         }
-        self.check_once();
-        self.check_told_kept();
+        self.check_single_runs();
+        self.check_acknowledged_ends();
     }
 
-    /// Members of a gang stand still until all of one run are there.
-    fn mark_gangs(&mut self) {
+    /// Makes the members of a gang wait until all of the same run are present.
+    fn mark_waiting_gangs(&mut self) {
         let mut present = BTreeMap::<(TaskName, u32), u32>::new();
         let first = |name: &TaskName| TaskName { index: 0, ..*name };
         for (name, running) in self.workers.values().flat_map(|worker| &worker.running) {
@@ -492,13 +510,13 @@
             for (name, running) in &mut worker.running {
                 let spec = specs.get(&name.job).and_then(|spec| spec.steps.get(name.step as usize));
                 let count = spec.filter(|step| step.gang).map_or(0, |step| step.count);
-                running.waits = present[&(first(name), running.run)] < count;
+                running.waits_for_gang = present[&(first(name), running.run)] < count;
             }
         }
     }
 
-    /// Panics if a task runs in two places, unless its step allows copies.
-    fn check_once(&self) {
+    /// Panics if a task runs on two workers, unless its step allows copies.
+    fn check_single_runs(&self) {
         let copied = |name: &TaskName| {
             let spec =
                 self.specs.get(&name.job).and_then(|spec| spec.steps.get(name.step as usize));
@@ -506,8 +524,8 @@
         };
         let mut seen = BTreeSet::new();
         for name in self.workers.values().flat_map(|worker| worker.running.keys()) {
-            let twice = !seen.insert(*name) && !copied(name);
-            assert!(!twice, "{name} runs twice at {}", self.now);
+            let is_duplicate = !seen.insert(*name) && !copied(name);
+            assert!(!is_duplicate, "{name} runs twice at {}", self.now);
         }
     }
 }
--- a/crates/kitetrail-core/tests/fleet/owners.rs
+++ b/crates/kitetrail-core/tests/fleet/owners.rs
@@ -1,4 +1,4 @@
-//! Owners of the fleet that follow each other, and what the store keeps for them.
+//! Simulates successive owners of the fleet, and the records that the store holds for them.
 
 use std::time::Duration;
 
@@ -9,38 +9,44 @@
 
 use super::{DAY_UNIX_MS, World};
 
-/// How long an owner that lost the store may go on to renew leases.
-pub(super) const RENEW_WITHOUT_STORE: Duration = Duration::from_secs(12);
+/// The time for which an owner may renew leases without the store.
+pub(super) const MAX_RENEWAL_WITHOUT_STORE: Duration = Duration::from_secs(12);
 
 impl World {
-    /// Replaces the scheduler by one of a new owner, as after the death of the one before.
+    /// Replaces the scheduler by that of a new owner, as after the death of the previous one.
     pub fn take_over(&mut self, epoch: u64, earlier_owners_stopped: bool) {
         self.replace_scheduler(epoch, earlier_owners_stopped);
         self.list_all();
     }
 
-    /// The same, with something that the new scheduler is told before it knows any worker.
+    /// Like [`Self::take_over`], with an event that the new scheduler handles before it knows any worker.
     pub fn take_over_with(&mut self, epoch: u64, earlier_owners_stopped: bool, first: Event) {
         self.replace_scheduler(epoch, earlier_owners_stopped);
         self.tell(first);
         self.list_all();
     }
 
+    /// Replaces the scheduler by that of a new owner, which knows no worker yet.
     pub(super) fn replace_scheduler(&mut self, epoch: u64, earlier_owners_stopped: bool) {
         self.batches.clear();
         self.order_answers.clear();
         for worker in self.workers.values_mut() {
             worker.held = None;
-            worker.held_before.clear();
+            worker.earlier_holds.clear();
         }
         let leases_renewed_for = match earlier_owners_stopped {
             true => Duration::ZERO,
-            false => RENEW_WITHOUT_STORE,
+            false => MAX_RENEWAL_WITHOUT_STORE,
         };
-        let inherit = |job: &JobRecord| (job.clone(), self.progress.get(&job.id).cloned());
-        let ended = self.progress.values().filter(|it| !self.jobs.contains_key(&it.id)).cloned();
+        let job_with_progress =
+            |job: &JobRecord| (job.clone(), self.progress.get(&job.id).cloned());
+        let ended = self
+            .progress
+            .values()
+            .filter(|progress| !self.jobs.contains_key(&progress.id))
+            .cloned();
         let inheritance = Inheritance {
-            jobs: self.jobs.values().map(inherit).collect(),
+            jobs: self.jobs.values().map(job_with_progress).collect(),
             ended: ended.collect(),
             lives: self.lives.values().cloned().collect(),
             effects: self.effects.clone(),
@@ -49,22 +55,24 @@
         self.scheduler = scheduler(epoch, inheritance, self.now);
     }
 
+    /// Commits the batches that are due.
     pub(super) fn step_store(&mut self) {
         while !self.store_down && self.batches.front().is_some_and(|(at, ..)| *at <= self.now) {
             let Some((_, batch, records)) = self.batches.pop_front() else { return };
             for record in records {
-                self.keep(record);
+                self.apply_record(record);
             }
             self.tell(Event::Committed(batch));
         }
     }
 
-    pub(super) fn keep(&mut self, record: Record) {
+    /// Applies a record to the contents of the store.
+    pub(super) fn apply_record(&mut self, record: Record) {
         match record {
             Record::Job(job) => drop(self.jobs.insert(job.id, job)),
             Record::Progress(progress) => drop(self.progress.insert(progress.id, progress)),
             Record::DropJob(id) => {
-                assert!(self.jobs.remove(&id).is_some(), "only a row that is there is dropped");
+                assert!(self.jobs.remove(&id).is_some(), "a dropped row must exist");
             }
             Record::LifeUsed(life) => drop(self.lives.insert(life.key().to_string(), life)),
             Record::LifeOver(life) => drop(self.lives.remove(&life.to_string())),
@@ -74,6 +82,7 @@
     }
 }
 
+/// Creates the scheduler of an owner.
 pub(super) fn scheduler(epoch: u64, inheritance: Inheritance, now: Time) -> Scheduler {
     let settings = SchedulerSettings {
         longest_lease: Duration::from_secs(6),
--- a/crates/kitetrail-core/tests/fleet/predecessor.rs
+++ b/crates/kitetrail-core/tests/fleet/predecessor.rs
@@ -1,4 +1,4 @@
-//! An owner that was succeeded and does not know, beside its successor.
+//! Simulates an owner that has been replaced without knowing, beside its successor.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -11,29 +11,31 @@
     jobs::{Action, Event, Hold, LifeNo, OrderAnswer, Scheduler, WorkerEntry},
 };
 
-use super::{DAY_UNIX_MS, World, owners::RENEW_WITHOUT_STORE, worker::hold_across_cut};
+use super::{
+    DAY_UNIX_MS, World, owners::MAX_RENEWAL_WITHOUT_STORE, worker::answer_unreachable_hold,
+};
 
-/// What became of the batch that was on its way as another owner took over.
+/// The outcome of a batch that was in flight during a takeover.
 #[derive(Debug, Clone, Copy)]
 pub enum InFlight {
-    /// It never reached the store.
+    /// The batch never reached the store.
     Lost,
-    /// The store kept it before the takeover, and its answer comes so long after that.
+    /// The store committed the batch before the takeover, and its answer arrives this long after it.
     Kept(Duration),
 }
 
-/// An owner that was succeeded and does not know.
+/// An owner that has been replaced without knowing.
 #[derive(Debug)]
 pub struct Predecessor {
     scheduler: Scheduler,
-    /// Workers that it does not reach.
+    /// The workers that this owner can't reach.
     pub cut_from: BTreeSet<String>,
-    /// It does not reach the store. Once it does, its next write shows that it was succeeded.
+    /// Whether this owner can't reach the store. Once it can, its next write shows that it was replaced.
     pub store_cut: bool,
-    /// It stands still until then.
+    /// The time until which this owner is suspended.
     pub suspended_until: Option<Time>,
-    /// When it was succeeded: no write of its own was kept after this.
-    succeeded_at: Time,
+    /// When this owner was replaced: none of its later writes was committed.
+    replaced_at: Time,
     holds: Vec<(LifeNo, WorkerEntry, Hold, Time)>,
     events: VecDeque<(Time, Event)>,
 }
@@ -43,7 +45,7 @@
         !self.cut_from.contains(entry.id.as_str())
     }
 
-    /// What has come by now, in order.
+    /// Removes the events that are due and returns them in order.
     fn take_due(&mut self, now: Time) -> Vec<Event> {
         let (due, later): (Vec<_>, Vec<_>) =
             mem::take(&mut self.events).into_iter().partition(|(at, _)| *at <= now);
@@ -51,26 +53,26 @@
         due.into_iter().map(|(_, event)| event).collect()
     }
 
-    /// Whether it gives the fleet up: it hears that it was succeeded, or was without the store for too long.
-    fn gives_up(&self, now: Time) -> bool {
-        !self.store_cut || now.since(self.succeeded_at) > RENEW_WITHOUT_STORE
+    /// Returns whether this owner must stop: it learned of its successor, or was without the store for too long.
+    fn must_stop(&self, now: Time) -> bool {
+        !self.store_cut || now.since(self.replaced_at) > MAX_RENEWAL_WITHOUT_STORE
     }
 }
 
 impl World {
-    /// Another owner takes over, and the one before goes on without the store, cut off from some workers.
+    /// Starts a new owner while the previous one continues without the store, disconnected from some workers.
     pub fn take_over_beside(&mut self, epoch: u64, in_flight: InFlight, cut_from: &[&str]) {
         let mut events = mem::take(&mut self.order_answers);
         let batches = mem::take(&mut self.batches);
         if let InFlight::Kept(answered_after) = in_flight {
             for (_, batch, records) in batches {
-                records.into_iter().for_each(|record| self.keep(record));
+                records.into_iter().for_each(|record| self.apply_record(record));
                 events.push_back((self.now + answered_after, Event::Committed(batch)));
             }
         }
         let mut holds = Vec::new();
         for worker in self.workers.values_mut() {
-            let held = mem::take(&mut worker.held_before).into_iter().chain(worker.held.take());
+            let held = mem::take(&mut worker.earlier_holds).into_iter().chain(worker.held.take());
             let entry = &worker.entry;
             holds.extend(held.map(|(life, hold, sent_at)| (life, entry.clone(), hold, sent_at)));
         }
@@ -81,14 +83,14 @@
             cut_from: cut_from.iter().map(|&id| id.to_owned()).collect(),
             store_cut: true,
             suspended_until: None,
-            succeeded_at: self.now,
+            replaced_at: self.now,
             holds,
             events,
         });
         self.take_over(epoch, false);
     }
 
-    /// Lets the owner before do what it has to in one step of the clock.
+    /// Advances the previous owner by one step of the clock.
     pub(super) fn step_predecessor(&mut self) {
         let now = self.now;
         let Some(mut owner) = self.predecessor.take() else { return };
@@ -96,16 +98,16 @@
             self.predecessor = Some(owner);
             return;
         }
-        if owner.gives_up(now) {
+        if owner.must_stop(now) {
             return;
         }
         let mut events = owner.take_due(now);
         for (life, entry, hold, sent_at) in mem::take(&mut owner.holds) {
-            let answer = match owner.reaches(&entry) && self.answers_at(&entry) {
+            let answer = match owner.reaches(&entry) && self.listens_at(&entry) {
                 true => self.workers.get_mut(entry.id.as_str()).and_then(|worker| {
                     worker.answer_hold(now, (life, hold, sent_at), self.tail_ms)
                 }),
-                false => hold_across_cut(now, &hold, sent_at),
+                false => answer_unreachable_hold(now, &hold, sent_at),
             };
             match answer {
                 Some(answer) => events.push(Event::Held { life, hold, sent_at, answer }),
@@ -115,19 +117,19 @@
         events.push(Event::Tick);
         for event in events {
             let actions = owner.scheduler.handle(event, now, DAY_UNIX_MS + now.as_ms());
-            if !actions.into_iter().all(|action| self.act_for(&mut owner, action)) {
+            if !actions.into_iter().all(|action| self.perform_for_predecessor(&mut owner, action)) {
                 return;
             }
         }
         self.predecessor = Some(owner);
     }
 
-    /// Does what the owner before asks for. `false`: it was deposed.
-    fn act_for(&mut self, owner: &mut Predecessor, action: Action) -> bool {
+    /// Performs an action of the previous owner. Returns `false` if it was deposed.
+    fn perform_for_predecessor(&mut self, owner: &mut Predecessor, action: Action) -> bool {
         match action {
             Action::Order { life, entry, token, lease_until_ms, order } => {
-                let answer = match owner.reaches(&entry) && self.answers_at(&entry) {
-                    true => self.order(entry.id.as_str(), token, lease_until_ms, &order),
+                let answer = match owner.reaches(&entry) && self.listens_at(&entry) {
+                    true => self.deliver_order(entry.id.as_str(), token, lease_until_ms, &order),
                     false => OrderAnswer::Unanswered,
                 };
                 let answered = Event::OrderAnswered { life, order, answer };
@@ -137,7 +139,7 @@
                 owner.holds.push((life, (*entry).clone(), hold, self.now));
             }
             Action::Deposed => return false,
-            // The store does not answer it any more, so neither are callers.
+            // The store no longer answers this owner, so it can't answer callers.
             Action::Commit { .. }
             | Action::AnswerSubmit(..)
             | Action::AnswerCancel(..)
--- a/crates/kitetrail-core/tests/fleet/processor.rs
+++ b/crates/kitetrail-core/tests/fleet/processor.rs
@@ -1,4 +1,4 @@
-//! The processor time of an owner: what happens waits until it gets round to it.
+//! Simulates the limited processor time of an owner: events wait in a queue until it handles them.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -6,94 +6,94 @@
 
 use super::STEP;
 
-/// The owner looks at the clock so often, if it has the time.
-const TICK: Duration = Duration::from_millis(20);
+/// The interval between ticks of an owner that is not overloaded.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The processor time of an owner, as its loop spends it: all that waits, then a look at the clock.
+/// The processor time of an owner. As in its loop, each tick is followed by all events that wait by then.
 #[derive(Debug)]
 pub struct Processor {
-    /// What an event costs.
+    /// The processor time of an event.
     pub event_cost: Duration,
-    /// What it costs more to read an end that a report tells.
+    /// The additional processor time for each end of a run in a report.
     pub end_cost: Duration,
-    /// It is told how late it is.
+    /// Whether the scheduler is informed of its lag.
     pub told_its_lag: bool,
     inbox: VecDeque<Event>,
-    /// How many events go before the next look at the clock.
-    before_tick: usize,
-    /// It looks at the clock now, having said how late that is.
-    ticks: bool,
-    ticked_at: Time,
+    /// The number of events before the next tick.
+    events_before_tick: usize,
+    /// Whether the next event is a tick, after its lag was reported.
+    tick_is_next: bool,
+    last_tick_at: Time,
     busy_until: Time,
-    /// The longest lag so far.
+    /// The longest lag up to now.
     pub longest_lag: Duration,
 }
 
 impl Processor {
-    /// The processor of an owner, of which each event takes so much.
+    /// Creates a processor on which each event takes `event_cost`.
     pub fn new(event_cost: Duration, now: Time) -> Self {
         Self {
             event_cost,
             end_cost: Duration::ZERO,
             told_its_lag: true,
             inbox: VecDeque::new(),
-            before_tick: 0,
-            ticks: false,
-            ticked_at: now,
+            events_before_tick: 0,
+            tick_is_next: false,
+            last_tick_at: now,
             busy_until: now,
             longest_lag: Duration::ZERO,
         }
     }
 
-    /// How many events wait.
+    /// Returns the number of queued events.
     pub fn waiting(&self) -> usize {
         self.inbox.len()
     }
 
-    /// Lets an event wait for its turn.
-    pub fn wait(&mut self, event: Event) {
+    /// Queues an event.
+    pub fn enqueue(&mut self, event: Event) {
         self.inbox.push_back(event);
     }
 
-    /// The next event that there is time for in this step of the clock.
+    /// Returns the next event, or `None` if no processor time is left in this step of the clock.
     pub fn next(&mut self, now: Time) -> Option<Event> {
         self.busy_until = self.busy_until.max(now);
         if self.busy_until >= now + STEP {
             return None;
         }
-        let event = match self.before_tick {
-            0 => self.look_at_clock(now)?,
+        let event = match self.events_before_tick {
+            0 => self.next_at_tick(now)?,
             _ => {
-                self.before_tick -= 1;
+                self.events_before_tick -= 1;
                 self.inbox.pop_front()?
             }
         };
-        self.busy_until = self.busy_until + self.event_cost + self.end_cost * ends_told(&event);
+        self.busy_until = self.busy_until + self.event_cost + self.end_cost * reported_ends(&event);
         Some(event)
     }
 
-    /// The lag, then the tick; after it all that waits by then has its turn.
-    fn look_at_clock(&mut self, now: Time) -> Option<Event> {
-        if self.ticks {
-            self.ticks = false;
-            self.before_tick = self.inbox.len();
+    /// Returns the lag and then the tick if one is due, otherwise the next queued event.
+    fn next_at_tick(&mut self, now: Time) -> Option<Event> {
+        if self.tick_is_next {
+            self.tick_is_next = false;
+            self.events_before_tick = self.inbox.len();
             return Some(Event::Tick);
         }
-        let since = now.since(self.ticked_at);
-        if since < TICK {
-            self.before_tick = self.inbox.len();
-            return self.inbox.pop_front().inspect(|_| self.before_tick -= 1);
+        let elapsed = now.since(self.last_tick_at);
+        if elapsed < TICK_INTERVAL {
+            self.events_before_tick = self.inbox.len();
+            return self.inbox.pop_front().inspect(|_| self.events_before_tick -= 1);
         }
-        let lag = since.saturating_sub(TICK);
+        let lag = elapsed.saturating_sub(TICK_INTERVAL);
         self.longest_lag = self.longest_lag.max(lag);
-        self.ticked_at = now;
-        self.ticks = true;
+        self.last_tick_at = now;
+        self.tick_is_next = true;
         Some(Event::Lagged(if self.told_its_lag { lag } else { Duration::ZERO }))
     }
 }
 
-/// How many ends of runs an event tells.
-fn ends_told(event: &Event) -> u32 {
+/// Returns the number of ends of runs that an event reports.
+fn reported_ends(event: &Event) -> u32 {
     match event {
         Event::Held { answer: Ok(report), .. } => report.ended.len() as u32,
         _ => 0,
--- a/crates/kitetrail-core/tests/fleet/restarts.rs
+++ b/crates/kitetrail-core/tests/fleet/restarts.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under their ids, and what must not happen then.
+//! Simulates workers that restart under their ids, and checks that acknowledged ends of runs are final.
 
 use std::collections::BTreeMap;
 
@@ -9,59 +9,60 @@
 
 use super::{DAY_UNIX_MS, FakeWorker, World, queue};
 
-/// What the clock of a worker's first start is ahead of the owner's, in milliseconds.
+/// The lead of a worker's clock over the owner's before any restart, in milliseconds.
 const FIRST_CLOCK_AHEAD_MS: u64 = 500_000_000;
-/// How far apart the clocks of a worker's starts are, in milliseconds.
-const CLOCKS_APART_MS: u64 = 7_654_321;
-/// Clocks are set anew in so many ways, half of them before the first one and half after it.
-const CLOCKS: u64 = 40;
+/// The step between the clocks of restarted workers, in milliseconds.
+const CLOCK_STEP_MS: u64 = 7_654_321;
+/// The number of clock settings after a restart, half of them behind the first clock and half ahead of it.
+const CLOCK_VARIANTS: u64 = 40;
 
-/// What workers were told is kept, by task.
+/// The ends of runs that the owner acknowledged to workers as stored, by task.
 #[derive(Debug, Default)]
-pub struct ToldKept {
-    /// When the last run of a task ended as done.
+pub struct AcknowledgedEnds {
+    /// When the last completed run of a task ended.
     done: BTreeMap<TaskName, Time>,
-    /// When runs of a task ended as failed, in order.
+    /// When failed runs of a task ended, in order.
     failed: BTreeMap<TaskName, Vec<Time>>,
-    /// How many starts were looked at.
-    checked: usize,
+    /// The number of starts that have been checked.
+    checked_starts: usize,
 }
 
-impl ToldKept {
-    /// Forgets a job: what is handed in under its id from now on is another one.
-    pub(super) fn forget(&mut self, job: JobId) {
+impl AcknowledgedEnds {
+    /// Removes a job, since a later job under its id is a different one.
+    pub(super) fn remove_job(&mut self, job: JobId) {
         self.done.retain(|name, _| name.job != job);
         self.failed.retain(|name, _| name.job != job);
     }
 }
 
 impl World {
-    /// A worker crashes and starts again at once, under its id and at its address. Returns the entry of before.
+    /// Restarts a worker at once under its id and address, as after a crash. Returns its previous entry.
     pub fn restart(&mut self, id: &str) -> WorkerEntry {
         let incarnation = Incarnation(DAY_UNIX_MS + self.now.as_ms());
         let address = self.worker(id).entry.address.clone();
         self.restart_as(id, incarnation, address)
     }
 
-    /// The same with the start that it tells, and the address at which it answers from now on.
+    /// Like [`Self::restart`], with a given incarnation and address.
     pub fn restart_as(
         &mut self,
         id: &str,
         incarnation: Incarnation,
         address: String,
     ) -> WorkerEntry {
-        let before = self.workers.remove(id).expect("the fleet has this worker");
-        self.broken_holds.extend(before.held.into_iter().chain(before.held_before));
+        let previous = self.workers.remove(id).expect("the fleet has this worker");
+        self.interrupted_holds.extend(previous.held.into_iter().chain(previous.earlier_holds));
         self.restarts += 1;
-        let entry = WorkerEntry { incarnation: Some(incarnation), address, ..before.entry.clone() };
+        let entry =
+            WorkerEntry { incarnation: Some(incarnation), address, ..previous.entry.clone() };
         let mut worker = FakeWorker::with_entry(entry);
         worker.clock_ahead_ms = clock_ahead_ms(self.restarts);
-        worker.answers_tell_start = before.answers_tell_start;
+        worker.answers_tell_start = previous.answers_tell_start;
         self.workers.insert(id.to_owned(), worker);
-        before.entry
+        previous.entry
     }
 
-    /// Makes all workers tell when they started.
+    /// Makes all workers report when they started.
     pub fn tell_incarnations(&mut self) {
         for worker in self.workers.values_mut() {
             worker.entry.incarnation = Some(Incarnation(DAY_UNIX_MS));
@@ -70,62 +71,76 @@
         self.list_all();
     }
 
-    /// Panics if a task is started after an end which its worker was told is kept: one as done, or as many as failed as it
-    /// may have. Ends that were told later count as well.
-    pub(super) fn check_told_kept(&mut self) {
-        let told = self.workers.values_mut().flat_map(|worker| worker.told_kept.drain(..));
-        for (at, end) in told.collect::<Vec<_>>() {
+    /// Panics if a task is started after acknowledged ends that are final: one completed run, or as many failed runs as the
+    /// queue allows. Ends that are acknowledged after the start count as well.
+    pub(super) fn check_acknowledged_ends(&mut self) {
+        let acknowledged =
+            self.workers.values_mut().flat_map(|worker| worker.acknowledged_ends.drain(..));
+        for (at, end) in acknowledged.collect::<Vec<_>>() {
             match end.how {
-                HowEnded::Done => self.note_done(end.task, at),
-                HowEnded::Failed => self.note_failed(end.task, at),
+                HowEnded::Done => self.record_done(end.task, at),
+                HowEnded::Failed => self.record_failed(end.task, at),
                 HowEnded::Stopped | HowEnded::Lapsed | HowEnded::Broken | HowEnded::Alone => {}
             }
         }
-        for at in self.told_kept.checked..self.starts.len() {
-            let (started, name, ..) = &self.starts[at];
-            let is_over = self.told_kept.done.get(name).is_some_and(|done| done < started);
-            assert!(!is_over || self.may_repeat(*name), "{name} is started, its end is kept");
+        for start in self.acknowledged_ends.checked_starts..self.starts.len() {
+            let (started, name, ..) = &self.starts[start];
+            let is_done = self.acknowledged_ends.done.get(name).is_some_and(|done| done < started);
+            assert!(
+                !is_done || self.may_repeat(*name),
+                "{name} is started after an acknowledged end"
+            );
             let failed = self
-                .told_kept
+                .acknowledged_ends
                 .failed
                 .get(name)
                 .map_or(0, |at| at.iter().filter(|at| *at < started).count());
-            let most = queue().max_attempts as usize;
+            let max_failures = queue().max_attempts as usize;
             assert!(
-                failed < most || self.may_repeat(*name),
+                failed < max_failures || self.may_repeat(*name),
                 "{name} is started after {failed} failures"
             );
         }
-        self.told_kept.checked = self.starts.len();
+        self.acknowledged_ends.checked_starts = self.starts.len();
     }
 
-    fn note_done(&mut self, name: TaskName, at: Time) {
-        let later = self.starts.iter().any(|(started, task, ..)| *task == name && *started > at);
-        assert!(!later || self.may_repeat(name), "{name} was started again, its end is kept");
-        self.told_kept.done.insert(name, at);
+    /// Records a completed run.
+    fn record_done(&mut self, name: TaskName, at: Time) {
+        let restarted =
+            self.starts.iter().any(|(started, task, ..)| *task == name && *started > at);
+        assert!(
+            !restarted || self.may_repeat(name),
+            "{name} was started again after an acknowledged end"
+        );
+        self.acknowledged_ends.done.insert(name, at);
     }
 
-    fn note_failed(&mut self, name: TaskName, at: Time) {
-        let failed = self.told_kept.failed.entry(name).or_default();
+    /// Records a failed run.
+    fn record_failed(&mut self, name: TaskName, at: Time) {
+        let failed = self.acknowledged_ends.failed.entry(name).or_default();
         failed.push(at);
-        let most = queue().max_attempts as usize;
-        let Some(last) = failed.get(most - 1) else { return };
-        let later = self.starts.iter().any(|(started, task, ..)| *task == name && started > last);
-        assert!(!later || self.may_repeat(name), "{name} was started after {most} failures");
+        let max_failures = queue().max_attempts as usize;
+        let Some(last) = failed.get(max_failures - 1) else { return };
+        let restarted =
+            self.starts.iter().any(|(started, task, ..)| *task == name && started > last);
+        assert!(
+            !restarted || self.may_repeat(name),
+            "{name} was started after {max_failures} failures"
+        );
     }
 
-    /// Whether a task may be started again after an end: it lasts, or copies of it are allowed.
+    /// Returns whether a task may be started again after an end, since it is long-running or copies are allowed.
     fn may_repeat(&self, name: TaskName) -> bool {
         let spec = self.specs.get(&name.job).and_then(|spec| spec.steps.get(name.step as usize));
         spec.is_none_or(|step| step.lasts || step.copies_allowed)
     }
 }
 
-/// What the clock of a worker shows that started again: counted from anew, it may be behind the one before or ahead of it.
+/// Returns the lead of a restarted worker's clock, which may be behind or ahead of its previous clock.
 fn clock_ahead_ms(restarts: u64) -> u64 {
-    let apart_ms = restarts % CLOCKS * CLOCKS_APART_MS;
+    let shift_ms = restarts % CLOCK_VARIANTS * CLOCK_STEP_MS;
     match restarts % 2 {
-        0 => FIRST_CLOCK_AHEAD_MS + apart_ms,
-        _ => FIRST_CLOCK_AHEAD_MS - apart_ms,
+        0 => FIRST_CLOCK_AHEAD_MS + shift_ms,
+        _ => FIRST_CLOCK_AHEAD_MS - shift_ms,
     }
 }
--- a/crates/kitetrail-core/tests/fleet/specs.rs
+++ b/crates/kitetrail-core/tests/fleet/specs.rs
@@ -1,11 +1,11 @@
-//! What tests hand in.
+//! Specifications of jobs that tests submit.
 
 use kitetrail_core::{
     Resources,
     jobs::{JobId, JobSpec, QueueTerms, StepSpec, TaskName},
 };
 
-/// A queue with usual terms.
+/// Returns a queue with typical terms.
 pub fn queue() -> QueueTerms {
     QueueTerms {
         name: "checks".into(),
@@ -17,7 +17,7 @@
     }
 }
 
-/// A step of tasks that take a second on a core.
+/// Returns a step of tasks that take 1 s on one core.
 pub fn step(count: u32) -> StepSpec {
     StepSpec {
         count,
@@ -27,12 +27,12 @@
     }
 }
 
-/// A job of some steps.
+/// Returns a job with these steps.
 pub fn job(steps: Vec<StepSpec>) -> JobSpec {
     JobSpec { payload: "work".to_owned(), steps, schedule: None }
 }
 
-/// The name of a task of a job without a schedule.
+/// Returns the name of a task of a job without a schedule.
 pub fn task(job: u64, step: u32, index: u32) -> TaskName {
     TaskName { job: JobId(job), occurrence: 0, step, index }
 }
--- a/crates/kitetrail-core/tests/fleet/worker.rs
+++ b/crates/kitetrail-core/tests/fleet/worker.rs
@@ -1,4 +1,4 @@
-//! A worker on virtual time, which leases what it runs.
+//! A simulated worker on virtual time, which runs tasks while their lease lasts.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -16,66 +16,66 @@
 
 use super::STEP;
 
-/// How much longer than it may wait a hold may take before the owner gives it up.
+/// The time beyond its wait after which the owner considers a hold unanswered.
 const HOLD_SLACK: Duration = Duration::from_millis(700);
-/// How much later than that an answer comes that counts as missing.
-const LATE_ANSWER: Duration = Duration::from_millis(500);
-/// A task that lasts is at work after so long, and tells 100 percent from then on.
-const STARTS_WITHIN_MS: u64 = 300;
-/// A member of a gang ends once it has waited so long for the others.
-const GANG_WAITS_MS: u64 = 3_000;
-/// A room that shrank counts so much later: what the platform calls being in touch, and a heartbeat.
-const SHRINKS_COUNT_AFTER: Duration = Duration::from_millis(4_100);
-/// A run that fails does so after this much work.
+/// The time after that until an answer arrives that was considered missing.
+const LATE_ANSWER_DELAY: Duration = Duration::from_millis(500);
+/// The startup time of a long-running task, which reports 100 percent from then on.
+const STARTUP_MS: u64 = 300;
+/// The time after which a member of a gang ends if the other members are missing.
+const GANG_TIMEOUT_MS: u64 = 3_000;
+/// The time after which a smaller capacity must be respected: the platform's contact time plus a heartbeat.
+const SHRINK_GRACE: Duration = Duration::from_millis(4_100);
+/// The amount of work after which a failing run ends.
 const FAILS_AFTER_MS: u64 = 100;
 /// The longest lease that a worker grants, on its own clock.
 const LONGEST_LEASE_MS: u64 = 6_000;
-/// How much later a worker that is late carries an order out, unless it is told otherwise.
-const LATE: Duration = Duration::from_millis(1_000);
+/// The default delay after which a late worker carries out an order.
+const DEFAULT_ORDER_DELAY: Duration = Duration::from_millis(1_000);
 
-/// How a worker behaves.
+/// The behaviour of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mood {
-    /// It answers and works.
+    /// The worker answers and works.
     Well,
-    /// It crashed and is not back: what is sent to it fails at once.
+    /// The worker has crashed and not returned. Calls to it fail at once.
     Down,
-    /// Nothing reaches it and nothing comes back; it works on.
+    /// The worker continues to work, but no call reaches it and no answer comes back.
     Cut,
-    /// It answers, and what it runs stands still.
+    /// The worker answers, but its runs make no progress.
     Hanging,
-    /// It answers, and all that it starts fails after 100 ms.
+    /// The worker answers, but each of its runs fails after 100 ms.
     Failing,
-    /// It does not answer orders to start; it carries them out later unless they are void.
+    /// The worker does not answer start orders, but carries them out later unless they are no longer valid.
     Late,
-    /// Orders to start reach it later, nothing else reaches it and nothing comes back; it works on.
+    /// The worker continues to work. Start orders reach it late, other calls do not, and no answer comes back.
     Delayed,
-    /// It does not answer orders to stop, and does not carry them out.
+    /// The worker neither answers nor carries out stop orders.
     Unstoppable,
-    /// It does what it is told, and its answers to holds come so late that they count as missing.
+    /// The worker carries out orders, but its answers to holds arrive so late that they are considered missing.
     Unread,
 }
 
 /// A run on a worker.
 #[derive(Debug, Clone)]
 pub struct Running {
-    /// The run.
+    /// The number of the run.
     pub run: u32,
-    /// How much of its work is done, in milliseconds.
+    /// The completed work, in milliseconds.
     pub done_ms: u64,
-    /// How much there is, in milliseconds.
+    /// The total work, in milliseconds.
     pub work_ms: u64,
-    /// Its share of its speed, in percent.
+    /// The pace, in percent of full speed.
     pub percent: u8,
-    /// What it uses at full speed, in thousandths of a core.
+    /// The processor use at full speed, in thousandths of a core.
     pub cpu_millis: u32,
-    /// It serves users: its gauge tells its tail.
+    /// Whether the task serves users, so that its gauge is its tail latency.
     pub serves: bool,
-    /// It runs until it is stopped.
+    /// Whether the task is long-running, until it is stopped.
     pub lasts: bool,
-    /// It waits for other members of its gang.
-    pub waits: bool,
-    /// For how long it has, in milliseconds.
+    /// Whether the run waits for other members of its gang.
+    pub waits_for_gang: bool,
+    /// The time that the run has waited for its gang, in milliseconds.
     pub waited_ms: u64,
 }
 
@@ -89,19 +89,19 @@
             cpu_millis,
             serves,
             lasts,
-            waits: false,
+            waits_for_gang: false,
             waited_ms: 0,
         }
     }
 
-    /// What its worker tells of how far it is, in percent.
+    /// Returns the progress that the worker reports, in percent.
     pub fn told_percent(&self) -> u32 {
-        let whole_ms = if self.lasts { STARTS_WITHIN_MS } else { self.work_ms };
-        (self.done_ms * 100 / whole_ms).min(100) as u32
+        let total_ms = if self.lasts { STARTUP_MS } else { self.work_ms };
+        (self.done_ms * 100 / total_ms).min(100) as u32
     }
 }
 
-/// What a task is to the worker that runs it.
+/// The properties of a task that matter to its worker.
 #[derive(Debug, Clone, Copy)]
 pub struct Work {
     pub work_ms: u64,
@@ -110,9 +110,9 @@
     pub lasts: bool,
 }
 
-/// An order that is carried out later.
+/// An order that is carried out at a later time.
 #[derive(Debug)]
-struct LateOrder {
+struct DeferredOrder {
     at: Time,
     token: u64,
     lease_until_ms: u64,
@@ -120,48 +120,50 @@
     work: Work,
 }
 
-/// A worker.
+/// A simulated worker.
 #[derive(Debug)]
 pub struct FakeWorker {
     pub entry: WorkerEntry,
-    /// How it behaves.
+    /// The behaviour of the worker.
     pub mood: Mood,
-    /// It left the list.
+    /// Whether the worker has left the list.
     pub gone: bool,
-    /// What it had before, in thousandths of a core, each with the moment at which that changed.
-    pub had_cores: Vec<(Time, u32)>,
+    /// The earlier capacities, in thousandths of a core, each with the time at which it changed.
+    pub earlier_cores: Vec<(Time, u32)>,
     pub running: BTreeMap<TaskName, Running>,
     pub ended: Vec<RunEnd>,
     pub token: u64,
-    /// How far its clock is ahead of the owner's, in milliseconds.
+    /// The lead of the worker's clock over the owner's, in milliseconds.
     pub clock_ahead_ms: u64,
-    /// Its answers to orders tell when it started, as its reports do.
+    /// Whether answers to orders contain the incarnation, as reports do.
     pub answers_tell_start: bool,
-    /// On its own clock.
+    /// The end of the lease on the worker's clock, in milliseconds.
     pub leased_until_ms: u64,
-    /// Ends that it was told are kept, by when they came, but for those after which its lease lapsed first.
-    pub told_kept: Vec<(Time, RunEnd)>,
-    /// The hold that waits for an answer, and when it was sent.
+    /// The acknowledged ends with the times at which they occurred, except those after which the lease lapsed before
+    /// the acknowledgement.
+    pub acknowledged_ends: Vec<(Time, RunEnd)>,
+    /// The hold that waits for an answer, with the time at which it was sent.
     pub held: Option<(LifeNo, Hold, Time)>,
-    /// Holds that came before it and wait still: an owner asks two lives of a worker at a time.
-    pub held_before: Vec<(LifeNo, Hold, Time)>,
-    /// How much later it carries orders out when it is late.
+    /// Earlier holds that still wait: an owner may hold two lives of a worker at the same time.
+    pub earlier_holds: Vec<(LifeNo, Hold, Time)>,
+    /// The delay after which a late worker carries out orders.
     pub late_by: Duration,
-    late: VecDeque<LateOrder>,
-    /// What an answer that comes late says has ended, by when it comes, and for which life.
+    deferred: VecDeque<DeferredOrder>,
+    /// The ends in a late answer, with the time of its arrival and the life to which it belongs.
     pub late_ends: Option<(Time, LifeNo, Vec<RunEnd>)>,
-    /// The tasks that ran to their end here, and how many runs lost their lease.
+    /// The tasks that this worker completed.
     pub done: Vec<TaskName>,
+    /// The number of runs whose lease lapsed.
     pub lapsed: u32,
-    next_end: u64,
-    /// When each end came that it was not told is kept.
-    ended_at: BTreeMap<u64, Time>,
-    /// The number of the last end that was told.
-    told_end: u64,
+    next_end_number: u64,
+    /// The times of the ends that are not acknowledged, by number.
+    end_times: BTreeMap<u64, Time>,
+    /// The number of the last end that was reported.
+    last_reported_end: u64,
 }
 
 impl FakeWorker {
-    /// The worker with a number, well and idle.
+    /// Creates a healthy and idle worker with a number.
     pub fn new(no: u32) -> Self {
         let entry = WorkerEntry {
             id: format!("w{no}").as_str().into(),
@@ -179,53 +181,53 @@
         Self::with_entry(entry)
     }
 
-    /// The worker of an entry, well and idle.
+    /// Creates a healthy and idle worker with an entry.
     pub fn with_entry(entry: WorkerEntry) -> Self {
         Self {
             entry,
             mood: Mood::Well,
             gone: false,
-            had_cores: Vec::new(),
+            earlier_cores: Vec::new(),
             running: BTreeMap::new(),
             ended: Vec::new(),
             token: 0,
             clock_ahead_ms: 0,
             answers_tell_start: false,
             leased_until_ms: 0,
-            told_kept: Vec::new(),
+            acknowledged_ends: Vec::new(),
             held: None,
-            held_before: Vec::new(),
-            late_by: LATE,
-            late: VecDeque::new(),
+            earlier_holds: Vec::new(),
+            late_by: DEFAULT_ORDER_DELAY,
+            deferred: VecDeque::new(),
             late_ends: None,
             done: Vec::new(),
             lapsed: 0,
-            next_end: 1,
-            ended_at: BTreeMap::new(),
-            told_end: 0,
+            next_end_number: 1,
+            end_times: BTreeMap::new(),
+            last_reported_end: 0,
         }
     }
 
-    /// Loses all that runs here and all that has ended, and answers nothing any more.
+    /// Crashes the worker: it loses its runs and ends, and no longer answers.
     pub fn crash(&mut self) {
         self.mood = Mood::Down;
         self.running.clear();
         self.ended.clear();
     }
 
-    /// What its clock shows.
+    /// Returns the time on the worker's clock, in milliseconds.
     fn clock_ms(&self, now: Time) -> u64 {
         now.as_ms() + self.clock_ahead_ms
     }
 
-    /// Leases what runs here until a moment on its own clock, as far as it grants.
+    /// Extends the lease up to a time on the worker's clock, limited by the longest lease that it grants.
     fn lease(&mut self, now: Time, until_ms: u64) {
         let granted_ms = until_ms.min(self.clock_ms(now) + LONGEST_LEASE_MS);
         self.leased_until_ms = self.leased_until_ms.max(granted_ms);
     }
 
-    /// Carries an order out, or refuses it.
-    pub fn take(
+    /// Carries out an order, or refuses it.
+    pub fn carry_out(
         &mut self,
         now: Time,
         token: u64,
@@ -245,7 +247,7 @@
             Order::Start(start) => {
                 self.lease(now, lease_until_ms);
                 self.running.insert(start.task, Running::new(start.run, work));
-                self.check_room(now);
+                self.check_capacity(now);
             }
             Order::Stop { task, run } => {
                 if self.running.get(task).is_some_and(|running| running.run == *run) {
@@ -262,49 +264,43 @@
         OrderAnswer::Done { clock_ms, incarnation }
     }
 
-    /// Panics if what runs takes more than the worker has said to have of late.
-    fn check_room(&self, now: Time) {
-        if self.had_cores.is_empty() {
+    /// Panics if the runs use more than the largest capacity that the worker had recently.
+    fn check_capacity(&self, now: Time) {
+        if self.earlier_cores.is_empty() {
             return;
         }
-        let of_late =
-            self.had_cores.iter().filter(|(until, _)| now.since(*until) <= SHRINKS_COUNT_AFTER);
-        let most = of_late.map(|(_, cores)| *cores).chain([self.entry.capacity.cpu_millis.0]).max();
-        let taken = self.running.values().map(|running| running.cpu_millis).sum::<u32>();
-        assert!(Some(taken) <= most, "{} takes {taken} of {most:?} at {now}", self.entry.id);
+        let recent =
+            self.earlier_cores.iter().filter(|(until, _)| now.since(*until) <= SHRINK_GRACE);
+        let max_cores =
+            recent.map(|(_, cores)| *cores).chain([self.entry.capacity.cpu_millis.0]).max();
+        let used = self.running.values().map(|running| running.cpu_millis).sum::<u32>();
+        assert!(Some(used) <= max_cores, "{} uses {used} of {max_cores:?} at {now}", self.entry.id);
     }
 
-    /// Keeps an order to carry it out at a later moment.
-    pub fn take_later(
-        &mut self,
-        at: Time,
-        token: u64,
-        lease_until_ms: u64,
-        order: &Order,
-        work: Work,
-    ) {
+    /// Defers an order to a later time.
+    pub fn defer(&mut self, at: Time, token: u64, lease_until_ms: u64, order: &Order, work: Work) {
         let order = order.clone();
-        self.late.push_back(LateOrder { at, token, lease_until_ms, order, work });
+        self.deferred.push_back(DeferredOrder { at, token, lease_until_ms, order, work });
     }
 
-    /// Whether there are orders that it has not carried out yet.
+    /// Returns whether deferred orders remain.
     pub fn has_late_orders(&self) -> bool {
-        !self.late.is_empty()
+        !self.deferred.is_empty()
     }
 
-    /// Carries out the late orders whose moment has come. Returns what was started.
-    pub fn take_late(&mut self, now: Time) -> Vec<StartOrder> {
+    /// Carries out the deferred orders that are due. Returns the start orders that succeeded.
+    pub fn carry_out_deferred(&mut self, now: Time) -> Vec<StartOrder> {
         let mut started = Vec::new();
-        while let Some(late) = self.late.pop_front_if(|late| late.at <= now) {
-            let answer = self.take(now, late.token, late.lease_until_ms, &late.order, late.work);
-            if let (OrderAnswer::Done { .. }, Order::Start(start)) = (answer, late.order) {
+        while let Some(due) = self.deferred.pop_front_if(|due| due.at <= now) {
+            let answer = self.carry_out(now, due.token, due.lease_until_ms, &due.order, due.work);
+            if let (OrderAnswer::Done { .. }, Order::Start(start)) = (answer, due.order) {
                 started.push(start);
             }
         }
         started
     }
 
-    /// Answers a hold, or `None` while it may wait.
+    /// Answers a hold. Returns `None` while the hold may wait.
     pub fn answer_hold(
         &mut self,
         now: Time,
@@ -316,11 +312,11 @@
         }
         let waited = now.since(sent_at);
         if matches!(self.mood, Mood::Cut | Mood::Delayed | Mood::Unread) {
-            if !is_given_up(&hold, waited) {
+            if !is_timed_out(&hold, waited) {
                 return None;
             }
             if self.mood == Mood::Unread {
-                self.late_ends = Some((now + LATE_ANSWER, life, self.ended.clone()));
+                self.late_ends = Some((now + LATE_ANSWER_DELAY, life, self.ended.clone()));
             }
             return Some(Err(HoldFailure::Unanswered));
         }
@@ -331,32 +327,34 @@
         if let Some(until_ms) = hold.lease_until_ms {
             self.lease(now, until_ms);
         }
-        self.note_kept(hold.ends_kept);
+        self.acknowledge_ends(hold.ends_kept);
         if self.ended.is_empty() && waited < Duration::from_millis(hold.wait_ms.into()) {
             return None;
         }
         Some(Ok(self.report(now, tail_ms(self))))
     }
 
-    /// Drops the ends up to a number, which are kept.
-    fn note_kept(&mut self, last: u64) {
-        let (kept, left) = mem::take(&mut self.ended).into_iter().partition(|it| it.number <= last);
-        self.ended = left;
-        let kept: Vec<RunEnd> = kept;
-        let at = |end: RunEnd| Some((self.ended_at.remove(&end.number)?, end));
-        self.told_kept.extend(kept.into_iter().filter_map(at));
+    /// Removes the ends up to a number, which are acknowledged.
+    fn acknowledge_ends(&mut self, last: u64) {
+        let (acknowledged, remaining) =
+            mem::take(&mut self.ended).into_iter().partition(|end| end.number <= last);
+        self.ended = remaining;
+        let acknowledged: Vec<RunEnd> = acknowledged;
+        let at = |end: RunEnd| Some((self.end_times.remove(&end.number)?, end));
+        self.acknowledged_ends.extend(acknowledged.into_iter().filter_map(at));
     }
 
-    /// Whether an answer tells of ends, and of none that was not told before.
-    pub fn tells_nothing_new(&mut self, answer: &Result<Report, HoldFailure>) -> bool {
+    /// Returns whether an answer reports ends, all of which have been reported before.
+    pub fn repeats_known_ends(&mut self, answer: &Result<Report, HoldFailure>) -> bool {
         let Some(last) = answer.as_ref().ok().and_then(|report| report.ended.last()) else {
             return false;
         };
-        let is_stale = last.number <= self.told_end;
-        self.told_end = last.number;
+        let is_stale = last.number <= self.last_reported_end;
+        self.last_reported_end = last.number;
         is_stale
     }
 
+    /// Returns a report of the runs and ends.
     fn report(&self, now: Time, tail_ms: u32) -> Report {
         let running = self.running.iter().map(|(&task, running)| RunningTask {
             task,
@@ -376,11 +374,11 @@
         }
     }
 
-    /// Lets the worker work for one step of the clock.
+    /// Advances the worker by one step of the clock.
     pub fn work(&mut self, now: Time) {
         let lapsed = self.leased_until_ms <= self.clock_ms(now);
         if lapsed {
-            self.ended_at.clear();
+            self.end_times.clear();
         }
         if !self.running.is_empty() && lapsed {
             for task in self.running.keys().copied().collect::<Vec<_>>() {
@@ -388,32 +386,35 @@
             }
         }
         let mood = self.mood;
-        for running in self.running.values_mut().filter(|run| mood != Mood::Hanging && !run.waits) {
+        for running in
+            self.running.values_mut().filter(|run| mood != Mood::Hanging && !run.waits_for_gang)
+        {
             running.done_ms += STEP.as_millis() as u64 * u64::from(running.percent) / 100;
         }
-        for running in self.running.values_mut().filter(|running| running.waits) {
+        for running in self.running.values_mut().filter(|running| running.waits_for_gang) {
             running.waited_ms += STEP.as_millis() as u64;
         }
-        let over = self.running.iter().filter_map(|(&task, running)| match mood {
-            _ if running.waited_ms >= GANG_WAITS_MS => Some((task, HowEnded::Alone)),
+        let ended_runs = self.running.iter().filter_map(|(&task, running)| match mood {
+            _ if running.waited_ms >= GANG_TIMEOUT_MS => Some((task, HowEnded::Alone)),
             Mood::Failing if running.done_ms >= FAILS_AFTER_MS => Some((task, HowEnded::Failed)),
             _ if running.done_ms >= running.work_ms => Some((task, HowEnded::Done)),
             _ => None,
         });
-        for (task, how) in over.collect::<Vec<_>>() {
+        for (task, how) in ended_runs.collect::<Vec<_>>() {
             self.end(now, task, how);
         }
     }
 
-    /// Ends the runs of a gang that lost a member.
-    pub fn break_step(&mut self, now: Time, lost: TaskName) {
-        let of_gang = |task: &TaskName| TaskName { index: lost.index, ..*task } == lost;
-        let members = self.running.keys().copied().filter(of_gang);
+    /// Ends the runs of a gang after one of its members was lost.
+    pub fn end_gang_members(&mut self, now: Time, lost: TaskName) {
+        let is_member = |task: &TaskName| TaskName { index: lost.index, ..*task } == lost;
+        let members = self.running.keys().copied().filter(is_member);
         for task in members.collect::<Vec<_>>() {
             self.end(now, task, HowEnded::Broken);
         }
     }
 
+    /// Ends a run.
     fn end(&mut self, now: Time, task: TaskName, how: HowEnded) {
         let Some(running) = self.running.remove(&task) else { return };
         match how {
@@ -422,22 +423,23 @@
             _ => {}
         }
         let checkpoint = Some(format!("{task}@{}", running.done_ms));
-        let number = self.next_end;
-        self.next_end += 1;
-        self.ended_at.insert(number, now);
+        let number = self.next_end_number;
+        self.next_end_number += 1;
+        self.end_times.insert(number, now);
         self.ended.push(RunEnd { number, task, run: running.run, how, checkpoint });
     }
 }
 
-/// What comes of a hold that does not reach its worker: nothing, until its owner takes it for unanswered.
-pub(super) fn hold_across_cut(
+/// Returns the outcome of a hold that does not reach its worker: `None` until the owner considers it unanswered.
+pub(super) fn answer_unreachable_hold(
     now: Time,
     hold: &Hold,
     sent_at: Time,
 ) -> Option<Result<Report, HoldFailure>> {
-    is_given_up(hold, now.since(sent_at)).then_some(Err(HoldFailure::Unanswered))
+    is_timed_out(hold, now.since(sent_at)).then_some(Err(HoldFailure::Unanswered))
 }
 
-fn is_given_up(hold: &Hold, waited: Duration) -> bool {
+/// Returns whether the owner considers a hold unanswered.
+fn is_timed_out(hold: &Hold, waited: Duration) -> bool {
     waited >= Duration::from_millis(hold.wait_ms.into()) + HOLD_SLACK
 }
