--- a/crates/kitetrail-core/tests/fleet/crashes.rs
+++ b/crates/kitetrail-core/tests/fleet/crashes.rs
@@ -130,19 +130,19 @@
 
     /// Crashes the workers whose crashing tasks have done enough work.
     fn crash_workers_of_tasks(&mut self) {
-        let mut causes = Vec::new();
+        let mut crashed_workers = Vec::new();
         for (id, worker) in &self.workers {
             let mut crashing_tasks = worker.running.iter().filter_map(|(name, running)| {
                 let after = self.crashes.tasks.get(name)?;
                 (u128::from(running.done_ms) >= after.as_millis()).then_some(*name)
             });
             if let Some(name) = crashing_tasks.next() {
-                causes.push((name, id.clone(), worker.running.len() as u32 - 1));
+                crashed_workers.push((name, id.clone(), worker.running.len() as u32 - 1));
             }
         }
-        for (name, id, beside) in causes {
+        for (name, id, other_runs) in crashed_workers {
             self.crashes.caused_by_tasks.push((self.now, name, id.clone()));
-            self.crashes.lost_beside += beside;
+            self.crashes.lost_beside += other_runs;
             self.crash(&id);
             self.break_gang(name);
         }
--- a/crates/kitetrail-core/tests/fleet/listing.rs
+++ b/crates/kitetrail-core/tests/fleet/listing.rs
@@ -22,7 +22,7 @@
         self.tell(Event::Discovered(all));
     }
 
-    /// Replaces a worker by a new life on the same machine under another id, as after a crash. Returns the
+    /// Replaces a worker with a new life on the same machine under another id, as after a crash. Returns the
     /// entry of the old life.
     pub fn reborn(&mut self, id: &str, new_id: &str) -> WorkerEntry {
         let worker = self.workers.remove(id).expect("the fleet has this worker");
--- a/crates/kitetrail-core/tests/fleet/mod.rs
+++ b/crates/kitetrail-core/tests/fleet/mod.rs
@@ -429,9 +429,9 @@
     }
 
     /// Panics if an end is acknowledged to a worker that is not stored.
-    fn check_acknowledged_are_stored(&self, id: &str, acknowledged: u64) {
+    fn check_acknowledged_are_stored(&self, id: &str, last_acknowledged: u64) {
         let ends = self.workers.get(id).into_iter().flat_map(|worker| &worker.ended);
-        for end in ends.filter(|end| end.number <= acknowledged && end.how == HowEnded::Done) {
+        for end in ends.filter(|end| end.number <= last_acknowledged && end.how == HowEnded::Done) {
             let name = end.task;
             if self.work_of(name).lasts {
                 // A long-running task runs until its job is cancelled, so its end changes nothing.
--- a/crates/kitetrail-core/tests/fleet/owners.rs
+++ b/crates/kitetrail-core/tests/fleet/owners.rs
@@ -13,7 +13,7 @@
 pub(super) const MAX_RENEWAL_WITHOUT_STORE: Duration = Duration::from_secs(12);
 
 impl World {
-    /// Replaces the scheduler by that of a new owner, as after the death of the previous one.
+    /// Replaces the scheduler with that of a new owner, as after the death of the previous one.
     pub fn take_over(&mut self, epoch: u64, earlier_owners_stopped: bool) {
         self.replace_scheduler(epoch, earlier_owners_stopped);
         self.list_all();
@@ -26,7 +26,7 @@
         self.list_all();
     }
 
-    /// Replaces the scheduler by that of a new owner, which knows no worker yet.
+    /// Replaces the scheduler with that of a new owner, which knows no worker yet.
     pub(super) fn replace_scheduler(&mut self, epoch: u64, earlier_owners_stopped: bool) {
         self.batches.clear();
         self.order_answers.clear();
--- a/crates/kitetrail-core/tests/fleet/processor.rs
+++ b/crates/kitetrail-core/tests/fleet/processor.rs
@@ -9,7 +9,7 @@
 /// The interval between ticks of an owner that is not overloaded.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The processor time of an owner. As in its loop, each tick is followed by all events that wait by then.
+/// The processor time of an owner. As in the owner's loop, each tick is followed by all events that wait by then.
 #[derive(Debug)]
 pub struct Processor {
     /// The processor time of an event.
--- a/crates/kitetrail-core/tests/fleet/restarts.rs
+++ b/crates/kitetrail-core/tests/fleet/restarts.rs
@@ -83,8 +83,8 @@
                 HowEnded::Stopped | HowEnded::Lapsed | HowEnded::Broken | HowEnded::Alone => {}
             }
         }
-        for start in self.acknowledged_ends.checked_starts..self.starts.len() {
-            let (started, name, ..) = &self.starts[start];
+        for index in self.acknowledged_ends.checked_starts..self.starts.len() {
+            let (started, name, ..) = &self.starts[index];
             let is_done = self.acknowledged_ends.done.get(name).is_some_and(|done| done < started);
             assert!(
                 !is_done || self.may_repeat(*name),
--- a/crates/kitetrail-core/tests/fleet/worker.rs
+++ b/crates/kitetrail-core/tests/fleet/worker.rs
@@ -18,7 +18,7 @@
 
 /// The time beyond its wait after which the owner considers a hold unanswered.
 const HOLD_SLACK: Duration = Duration::from_millis(700);
-/// The time after that until an answer arrives that was considered missing.
+/// The further delay of an answer that arrives after the owner considered it missing.
 const LATE_ANSWER_DELAY: Duration = Duration::from_millis(500);
 /// The startup time of a long-running task, which reports 100 percent from then on.
 const STARTUP_MS: u64 = 300;
--- a/crates/kitetraild/src/fleet/calls.rs
+++ b/crates/kitetraild/src/fleet/calls.rs
@@ -43,7 +43,7 @@
     UnknownJob,
     /// The job's state.
     State(JobState),
-    /// The owner can't store the job. The call had no effect and will have none.
+    /// The owner can't accept the job. The call had no effect and will have none.
     Refused,
     /// No owner of the fleet was found. The call had no effect.
     NotRun,
@@ -165,8 +165,8 @@
     if read_row(shared, &rows::job_row(&name)).await?.is_some() {
         return Some(Answer::State(JobState::Queued));
     }
-    // The job may have ended between the two reads: its progress row is written as its
-    // job row is deleted.
+    // The job may have ended between the two reads: its progress row is written as its job row
+    // is deleted.
     match read_row(shared, &rows::progress_row(&name)).await? {
         Some(progress) => state_from_progress(&progress),
         None => {
--- a/crates/kitetraild/src/fleet/connection_limits.rs
+++ b/crates/kitetraild/src/fleet/connection_limits.rs
@@ -9,7 +9,7 @@
 pub struct Promises {
     /// The time after the end of a fault, such as a silent connection, until all other promises hold again.
     pub contact: Duration,
-    /// The time after a worker started to drain during which it may still be given work.
+    /// The time after a worker reported that it drains during which it may still be given work.
     pub drain: Duration,
     /// The time from writing a configuration until it is in force.
     pub config_in_force: Duration,
@@ -36,7 +36,7 @@
     pub watch_slack: Duration,
     /// The timeout of an order to a worker. A worker answers within 1 or 2 ms, and a box slowed five
     /// times receives the answer within 10 ms. A timeout that is too short costs a report, one that is
-    /// too long delays all other orders.
+    /// too long delays all orders.
     pub order_timeout: Duration,
     /// The time that a hold may take beyond its wait before the worker is considered silent.
     pub hold_slack: Duration,
--- a/crates/kitetraild/src/fleet/operators.rs
+++ b/crates/kitetraild/src/fleet/operators.rs
@@ -20,7 +20,7 @@
 /// Whether the box accepts new connections, shared with the threads of the HTTP server.
 pub(super) type ReadyFlag = Arc<AtomicBool>;
 
-/// Serves both endpoints until the process ends.
+/// Serves both on their addresses until the process ends.
 pub(super) fn start(settings: &FleetSettings, ready: ReadyFlag, metrics: Metrics) {
     let path = settings.ready_path.trim_start_matches('/');
     let readiness = Router::with_path(path).get(ReadinessHandler { ready });
--- a/crates/kitetraild/src/fleet/peers/codec.rs
+++ b/crates/kitetraild/src/fleet/peers/codec.rs
@@ -23,7 +23,7 @@
     match config.transpose() {
         Ok(config_json) => Config { config_json: config_json.unwrap_or_default() },
         Err(error) => {
-            log::error!("config: can't be encoded: {error}");
+            log::error!("config: the configuration can't be encoded: {error}");
             Config::default()
         }
     }
@@ -36,7 +36,9 @@
     }
     match serde_json::from_slice::<FleetConfig>(&config.config_json) {
         Ok(config) => shared.offer_config(config, "peer"),
-        Err(error) => log::warn!("config: the one from another box can't be decoded: {error}"),
+        Err(error) => {
+            log::warn!("config: the configuration of another box can't be decoded: {error}")
+        }
     }
 }
 
--- a/crates/kitetraild/src/fleet/peers/server.rs
+++ b/crates/kitetraild/src/fleet/peers/server.rs
@@ -114,7 +114,7 @@
     let _ = reply.send(CallAnswer { outcome, epoch: view.epoch, owner_address });
 }
 
-/// Checks whether this box reaches the store, by its smallest read.
+/// Checks whether this box reaches the store, with the smallest read of the store.
 async fn reach_store<P: Platform>(shared: Rc<Shared<P>>, reply: oneshot::Sender<ReachStoreAnswer>) {
     let read = rows::read_owner(&shared).await;
     let _ = reply.send(ReachStoreAnswer { reached: read.is_ok() });
--- a/crates/kitetraild/src/fleet/peers/status.rs
+++ b/crates/kitetraild/src/fleet/peers/status.rs
@@ -14,8 +14,8 @@
 ///
 /// An overloaded loop answers late. If other boxes waited for it, they would consider the box dead and
 /// take the fleet over, which costs the next box, as slow as this one, a request to each worker. Four
-/// boxes deposed each other within 8 s in this way. The loop therefore publishes its status
-/// here on each iteration, and another thread answers pings.
+/// boxes deposed each other within 8 s in this way. The loop therefore publishes its status here on each
+/// iteration, and another thread answers pings.
 #[derive(Debug, Clone)]
 pub(in crate::fleet) struct BoxStatus(Arc<Mutex<Snapshot>>);
 
