--- a/crates/kitetrail-core/tests/fleet/crashes.rs
+++ b/crates/kitetrail-core/tests/fleet/crashes.rs
@@ -26,7 +26,7 @@
     /// The crashes caused by tasks, in order: the time, the task and the worker.
     pub caused_by_tasks: Vec<(Time, TaskName, String)>,
     /// The number of runs of other tasks that were lost in these crashes.
-    pub lost_beside: u32,
+    pub lost_other_runs: u32,
     /// The crashed workers, with the time of their return.
     returning: Vec<(Time, String)>,
     /// The entries of crashed workers, with the time at which they lapse.
@@ -42,7 +42,7 @@
             back_after: DEFAULT_RETURN_DELAY,
             same_id: false,
             caused_by_tasks: Vec::new(),
-            lost_beside: 0,
+            lost_other_runs: 0,
             returning: Vec::new(),
             lapsing: Vec::new(),
             return_count: 0,
@@ -142,7 +142,7 @@
         }
         for (name, id, other_runs) in crashed_workers {
             self.crashes.caused_by_tasks.push((self.now, name, id.clone()));
-            self.crashes.lost_beside += other_runs;
+            self.crashes.lost_other_runs += other_runs;
             self.crash(&id);
             self.break_gang(name);
         }
--- a/crates/kitetrail-core/tests/fleet/mod.rs
+++ b/crates/kitetrail-core/tests/fleet/mod.rs
@@ -191,7 +191,7 @@
     }
 
     /// Returns the final state of a job from the scheduler's notes, even if the scheduler has dropped the job.
-    pub fn ended_as(&self, id: u64) -> Option<JobState> {
+    pub fn final_state(&self, id: u64) -> Option<JobState> {
         self.notes.iter().rev().find_map(|(_, note)| match note {
             Note::JobEnded { job, state, .. } if *job == JobId(id) => Some(*state),
             _ => None,
--- a/crates/kitetrail-core/tests/jobs_crashing.rs
+++ b/crates/kitetrail-core/tests/jobs_crashing.rs
@@ -265,10 +265,10 @@
     world.run_ms(3_000);
     world.submit(1, job(vec![large(1)]));
     world.run_until("the first crash", |world| world.crashes_of(crashing) == 1);
-    let lost = world.crashes.lost_beside;
+    let lost = world.crashes.lost_other_runs;
     assert!(lost > 0, "the first crash lost no other run");
     world.run_until("the job has failed", |world| world.state(1) == Some(JobState::Failed));
-    assert_eq!(world.crashes.lost_beside, lost, "a later crash lost other runs");
+    assert_eq!(world.crashes.lost_other_runs, lost, "a later crash lost other runs");
     assert_eq!(world.crashes_of(crashing), 3);
 }
 
@@ -367,9 +367,9 @@
                 starts <= MAX_STARTS_AFTER_THIRD_CRASH,
                 "{starts} starts, job {id}, seed {seed}"
             );
-            assert_eq!(world.ended_as(id), Some(JobState::Failed), "job {id}, seed {seed}");
-            let beside = world.ended_as(100 + id);
-            assert_eq!(beside, Some(JobState::Completed), "job {}, seed {seed}", 100 + id);
+            assert_eq!(world.final_state(id), Some(JobState::Failed), "job {id}, seed {seed}");
+            let other = world.final_state(100 + id);
+            assert_eq!(other, Some(JobState::Completed), "job {}, seed {seed}", 100 + id);
         }
         assert_eq!(world.state(200), Some(JobState::Running), "seed {seed}");
     }
--- a/crates/kitetraild/src/fleet/connection_limits.rs
+++ b/crates/kitetraild/src/fleet/connection_limits.rs
@@ -29,7 +29,7 @@
     /// The time without a response from the store after which later calls use new connections.
     pub store_suspect_after: Duration,
     /// The time that a watch call waits for changes in the list of workers.
-    pub workers_wait: Duration,
+    pub workers_watch_wait: Duration,
     /// The time that a watch call waits for changes of the configuration.
     pub config_wait: Duration,
     /// The time that such a call may take beyond its wait. Twice the response time of a slow store.
@@ -47,9 +47,9 @@
     pub peer_timeout: Duration,
     /// The idle time after which a connection to another box is replaced before its next use. Longer
     /// than the interval between pings to the owner.
-    pub peer_trusted_for: Duration,
-    /// The idle time after which connections from other boxes are checked. This only frees file handles.
-    pub peer_idle_check: Duration,
+    pub peer_max_idle: Duration,
+    /// The interval of keepalive checks on connections from other boxes. They only free file handles.
+    pub peer_keepalive_interval: Duration,
 }
 
 impl ConnectionLimits {
@@ -64,15 +64,15 @@
         Self {
             store_timeout: contact / 3,
             store_suspect_after: contact / 8,
-            workers_wait: contact.min(promises.drain.saturating_mul(3) / 2) / 4,
+            workers_watch_wait: contact.min(promises.drain.saturating_mul(3) / 2) / 4,
             config_wait: config / 2,
             watch_slack: contact / 5,
             order_timeout: answer / 10,
             hold_slack: answer / 10,
             ping_timeout: answer / 12,
             peer_timeout: answer / 6,
-            peer_trusted_for: contact / 4,
-            peer_idle_check: contact.saturating_mul(4),
+            peer_max_idle: contact / 4,
+            peer_keepalive_interval: contact.saturating_mul(4),
         }
     }
 }
--- a/crates/kitetraild/src/fleet/connection_limits/tests.rs
+++ b/crates/kitetraild/src/fleet/connection_limits/tests.rs
@@ -33,7 +33,7 @@
 fn a_watch_receives_a_change_within_the_promised_contact_time() {
     for promises in PROMISES {
         let limits = ConnectionLimits::of(&promises);
-        for wait in [limits.workers_wait, limits.config_wait] {
+        for wait in [limits.workers_watch_wait, limits.config_wait] {
             let worst_case = wait + limits.watch_slack + MAX_WATCH_PAUSES + SLOW_STORE;
             assert!(worst_case < promises.contact, "{worst_case:?} of {promises:?}");
         }
@@ -63,7 +63,7 @@
 fn a_pinged_connection_is_reused_until_the_next_ping() {
     for promises in PROMISES {
         let limits = ConnectionLimits::of(&promises);
-        assert!(limits.peer_trusted_for > PING_INTERVAL + limits.ping_timeout);
+        assert!(limits.peer_max_idle > PING_INTERVAL + limits.ping_timeout);
         assert!(limits.ping_timeout.saturating_mul(2) < limits.store_timeout);
     }
 }
--- a/crates/kitetraild/src/fleet/peers/client.rs
+++ b/crates/kitetraild/src/fleet/peers/client.rs
@@ -29,7 +29,7 @@
 impl PeerClients {
     /// Creates the clients. Silent connections are counted in `silences`.
     pub(in crate::fleet) fn new(limits: ConnectionLimits, silences: SilenceCounts) -> Self {
-        let channels = PeerChannels::new(limits.peer_trusted_for, silences);
+        let channels = PeerChannels::new(limits.peer_max_idle, silences);
         Self { limits, channels }
     }
 
--- a/crates/kitetraild/src/fleet/peers/server.rs
+++ b/crates/kitetraild/src/fleet/peers/server.rs
@@ -52,10 +52,10 @@
 pub(in crate::fleet) async fn serve<P: Platform>(shared: Rc<Shared<P>>) {
     let (sender, mut messages) = mpsc::channel(QUEUE_CAPACITY);
     let address = shared.settings.listen.peers;
-    let idle_interval = shared.settings.limits.peer_idle_check;
+    let keepalive_interval = shared.settings.limits.peer_keepalive_interval;
     let server = Server::builder()
-        .http2_keepalive_interval(Some(idle_interval))
-        .http2_keepalive_timeout(Some(idle_interval))
+        .http2_keepalive_interval(Some(keepalive_interval))
+        .http2_keepalive_timeout(Some(keepalive_interval))
         .add_service(JobsServer::new(Handler { sender, status: shared.status.clone() }))
         .serve(address);
     let started = thread::Builder::new().name("peers".to_owned()).spawn(move || {
--- a/crates/kitetraild/src/fleet/workers_watch.rs
+++ b/crates/kitetraild/src/fleet/workers_watch.rs
@@ -115,7 +115,7 @@
     version: u64,
     known: &mut KnownEntries,
 ) -> Changes {
-    let wait = shared.settings.limits.workers_wait;
+    let wait = shared.settings.limits.workers_watch_wait;
     let followed = shared.services.store.worker_changes(version, wait).await;
     shared.note_store(&followed);
     match followed.ok()? {
