--- a/crates/kitetraild/src/args.rs
+++ b/crates/kitetraild/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line of the daemon.
+//! The daemon's command-line arguments.
 
 use std::path::PathBuf;
 
--- a/crates/kitetraild/src/clock.rs
+++ b/crates/kitetraild/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of a process in the core's terms: it counts the time that its machine was suspended.
+//! The process clock, which also counts the time for which the machine was suspended.
 
 #[cfg(test)]
 mod tests;
@@ -8,84 +8,84 @@
 use kitetrail_core::Time;
 use nix::time::{ClockId, clock_gettime};
 
-/// The process's clock, counted from its start.
+/// A clock that measures the time since the process started, including time in which the machine was suspended.
 ///
-/// A machine may be suspended for seconds. Its steady clock, and with it `Instant` and all timers, does not count them; this
-/// one does. So a process that wakes finds that time passed, as one that was frozen does: that others may have taken over,
-/// that leases it gave may be over, that what it read is old.
+/// A machine may be suspended for seconds. The monotonic clock, on which `Instant` and all timers rely, does not count that
+/// time. This clock does, so a resumed process detects that time has passed: other boxes may have taken over, leases that it
+/// granted may have expired, and data that it read may be stale.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    sources: Sources,
+    sources: ClockSources,
     start: Reading,
 }
 
-/// Where a clock reads the time from.
+/// The system clocks that a [`Clock`] reads.
 #[derive(Debug, Clone, Copy)]
-struct Sources {
-    /// Counts on while the machine is suspended.
-    since_boot: fn() -> Duration,
-    /// Stands still then.
-    steady: fn() -> Duration,
+struct ClockSources {
+    /// Returns the time since boot, including the time for which the machine was suspended.
+    boot_time: fn() -> Duration,
+    /// Returns the monotonic time, which excludes the time for which the machine was suspended.
+    monotonic: fn() -> Duration,
 }
 
-/// Both clocks at one moment.
+/// The values of both clocks, read together.
 #[derive(Debug, Clone, Copy)]
 struct Reading {
-    since_boot: Duration,
-    steady: Duration,
+    boot_time: Duration,
+    monotonic: Duration,
 }
 
-impl Sources {
-    /// The clocks of the system; the steady one alone where it has no other.
-    fn of_system() -> Self {
-        let steady = || read(ClockId::CLOCK_MONOTONIC);
+impl ClockSources {
+    /// Returns the system's clocks, with the monotonic clock in both places if the system has no boot-time clock.
+    fn system() -> Self {
+        let monotonic = || read_clock(ClockId::CLOCK_MONOTONIC);
         match clock_gettime(ClockId::CLOCK_BOOTTIME) {
-            Ok(_) => Self { since_boot: || read(ClockId::CLOCK_BOOTTIME), steady },
-            Err(_) => Self { since_boot: steady, steady },
+            Ok(_) => Self { boot_time: || read_clock(ClockId::CLOCK_BOOTTIME), monotonic },
+            Err(_) => Self { boot_time: monotonic, monotonic },
         }
     }
 
     fn read(self) -> Reading {
-        Reading { since_boot: (self.since_boot)(), steady: (self.steady)() }
+        Reading { boot_time: (self.boot_time)(), monotonic: (self.monotonic)() }
     }
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn start() -> Self {
-        Self::with(Sources::of_system())
+        Self::with_sources(ClockSources::system())
     }
 
-    fn with(sources: Sources) -> Self {
+    fn with_sources(sources: ClockSources) -> Self {
         Self { sources, start: sources.read() }
     }
 
-    /// The present moment. It starts at one second, so that "before the start" exists.
+    /// Returns the current time. It starts at one second, so that times before the start can be represented.
     pub fn now(&self) -> Time {
-        let since_start = (self.sources.since_boot)().saturating_sub(self.start.since_boot);
-        Time::from_us(since_start.as_micros() as u64 + 1_000_000)
+        let elapsed = (self.sources.boot_time)().saturating_sub(self.start.boot_time);
+        Time::from_us(elapsed.as_micros() as u64 + 1_000_000)
     }
 
-    /// For how long the machine was suspended since the start.
+    /// Returns for how long the machine was suspended since the clock started.
     pub fn suspended(&self) -> Duration {
-        let Reading { since_boot, steady } = self.sources.read();
-        let passed = since_boot.saturating_sub(self.start.since_boot);
-        passed.saturating_sub(steady.saturating_sub(self.start.steady))
+        let Reading { boot_time, monotonic } = self.sources.read();
+        let elapsed = boot_time.saturating_sub(self.start.boot_time);
+        elapsed.saturating_sub(monotonic.saturating_sub(self.start.monotonic))
     }
 }
 
-/// Reads a clock of the system. One that was read before can always be read.
-fn read(clock: ClockId) -> Duration {
+/// Reads a system clock. Returns zero on failure, which does not happen for a clock that was read before.
+fn read_clock(clock: ClockId) -> Duration {
     clock_gettime(clock).map(Duration::from).unwrap_or_default()
 }
 
-/// A number that is greater in each later run of a box.
+/// Returns an incarnation number, which is greater for each later run of a box.
 pub fn incarnation() -> u64 {
     unix_ms()
 }
 
-/// The time of day, in milliseconds since 1970.
+/// Returns the Unix time, in milliseconds.
 pub fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    since.as_millis() as u64
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    since_epoch.as_millis() as u64
 }
--- a/crates/kitetraild/src/daemon.rs
+++ b/crates/kitetraild/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts the parts together and stops them in order.
+//! Starts the parts of the daemon and shuts them down in order.
 
 use std::{
     cell::{Cell, RefCell},
@@ -25,32 +25,32 @@
     settings::Settings,
 };
 
-/// How many messages to the control loop may wait.
-const CONTROL_QUEUE: usize = 4_096;
-/// How long a box that is about to stop still takes requests, so that the balancer in
-/// front can notice.
-const UNREADY_FIRST: Duration = Duration::from_millis(500);
+/// The number of messages that can be queued for the control loop.
+const CONTROL_QUEUE_CAPACITY: usize = 4_096;
+/// How long a stopping box still accepts requests after it reports that it is not ready, so that
+/// the load balancer in front can react.
+const UNREADY_DELAY: Duration = Duration::from_millis(500);
 
-/// What stops a daemon.
+/// An error that stops the daemon.
 #[derive(Debug, Error)]
 pub enum DaemonError {
-    /// The system refused something.
+    /// A system call failed.
     #[error("{what}: {cause}")]
     Io {
-        /// What was tried.
+        /// The operation that failed.
         what: String,
-        /// What the system said.
+        /// The system's error.
         cause: std::io::Error,
     },
-    /// The counters can't be set up.
-    #[error("the counters can't be set up: {0}")]
+    /// The metrics exporter can't be created.
+    #[error("the metrics can't be set up: {0}")]
     Metrics(#[from] opentelemetry_sdk::error::OTelSdkError),
 }
 
-/// Runs a daemon until it is told to stop.
+/// Runs the daemon until it receives a stop signal.
 pub fn run(settings: Settings) -> Result<(), DaemonError> {
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|cause| io("the runtime can't be started", cause))?;
+    let runtime = runtime.map_err(|cause| io_error("the runtime can't be started", cause))?;
     runtime.block_on(LocalSet::new().run_until(run_parts(Rc::new(settings))))
 }
 
@@ -62,11 +62,11 @@
     let router = Router::new(settings.router_settings(), balancer, incarnation);
     let router = Rc::new(RefCell::new(router));
     let ready = Rc::new(Cell::new(false));
-    let (sender, messages) = mpsc::channel(CONTROL_QUEUE);
-    let listener = listen(&settings).await?;
-    let mut stop = signals()?;
+    let (sender, messages) = mpsc::channel(CONTROL_QUEUE_CAPACITY);
+    let listener = bind_caller_listener(&settings).await?;
+    let mut stop_signals = watch_stop_signals()?;
 
-    start_peers(&settings, &sender);
+    start_peer_server(&settings, &sender);
     operators::start(Rc::clone(&settings), sender.clone(), metrics.clone());
     let entry = Entry::new(EntryParts {
         settings: Rc::clone(&settings),
@@ -76,8 +76,8 @@
         metrics: metrics.clone(),
         ready: Rc::clone(&ready),
     });
-    let accepting = tokio::task::spawn_local(Rc::clone(&entry).accept(listener));
-    let parts = ControlParts {
+    let accept_loop = tokio::task::spawn_local(Rc::clone(&entry).accept(listener));
+    let control_parts = ControlParts {
         settings: Rc::clone(&settings),
         clock,
         incarnation,
@@ -86,46 +86,46 @@
         ready,
         sender: sender.clone(),
     };
-    let control = tokio::task::spawn_local(Control::new(parts).run(messages));
-    log::info!("daemon: {} takes requests on {}", settings.box_id, settings.listen.callers);
+    let control_loop = tokio::task::spawn_local(Control::new(control_parts).run(messages));
+    log::info!("daemon: {} accepts requests on {}", settings.box_id, settings.listen.callers);
 
-    stop.recv().await;
+    stop_signals.recv().await;
     log::info!("daemon: stopping");
     let _ = sender.send(Message::Drain).await;
-    tokio::time::sleep(UNREADY_FIRST).await;
-    accepting.abort();
-    let finish = async {
+    tokio::time::sleep(UNREADY_DELAY).await;
+    accept_loop.abort();
+    let drained = async {
         entry.drain().await;
-        let _ = control.await;
+        let _ = control_loop.await;
     };
     tokio::select! {
-        () = finish => log::info!("daemon: stopped, nothing was cut off"),
+        () = drained => log::info!("daemon: stopped after all requests ended"),
         () = tokio::time::sleep(settings.requests.drain_timeout_ms.get()) => {
             log::warn!("daemon: stopped with {} requests in progress", entry.in_progress());
         }
-        () = stop.recv() => {
-            log::warn!("daemon: stopped at once, {} requests cut off", entry.in_progress());
+        () = stop_signals.recv() => {
+            log::warn!("daemon: stopped immediately, {} requests aborted", entry.in_progress());
         }
     }
     Ok(())
 }
 
-async fn listen(settings: &Settings) -> Result<TcpListener, DaemonError> {
+async fn bind_caller_listener(settings: &Settings) -> Result<TcpListener, DaemonError> {
     let address = settings.listen.callers;
     let listener = TcpListener::bind(address).await;
-    listener.map_err(|cause| io(&format!("can't listen for callers on {address}"), cause))
+    listener.map_err(|cause| io_error(&format!("can't listen for callers on {address}"), cause))
 }
 
-fn start_peers(settings: &Settings, sender: &mpsc::Sender<Message>) {
+fn start_peer_server(settings: &Settings, sender: &mpsc::Sender<Message>) {
     let (address, sender) = (settings.listen.peers, sender.clone());
     tokio::task::spawn_local(async move {
         if let Err(error) = peers::serve(address, sender).await {
-            log::error!("peer: can't answer on {address}: {error}");
+            log::error!("peer: can't serve on {address}: {error}");
         }
     });
 }
 
-/// Either of the signals that ask for a planned stop.
+/// The signals that start a graceful shutdown.
 struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
@@ -140,13 +140,13 @@
     }
 }
 
-fn signals() -> Result<StopSignals, DaemonError> {
-    let watch = |kind| signal(kind).map_err(|cause| io("signals can't be watched", cause));
+fn watch_stop_signals() -> Result<StopSignals, DaemonError> {
+    let watch = |kind| signal(kind).map_err(|cause| io_error("signals can't be watched", cause));
     let terminate = watch(SignalKind::terminate())?;
     let interrupt = watch(SignalKind::interrupt())?;
     Ok(StopSignals { terminate, interrupt })
 }
 
-fn io(what: &str, cause: std::io::Error) -> DaemonError {
+fn io_error(what: &str, cause: std::io::Error) -> DaemonError {
     DaemonError::Io { what: what.to_owned(), cause }
 }
--- a/crates/kitetraild/src/lib.rs
+++ b/crates/kitetraild/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon: settings, sockets, timers and the loop that owns the core.
+//! The kitetrail daemon: settings, sockets, timers and the loop that owns the core.
 //!
-//! Everything runs on one thread. Requests touch the router between two waits; all
-//! other decisions are made by one loop, fed by a channel.
+//! Everything runs on one thread. Request handlers use the router between two await points. All
+//! other decisions are made by one control loop, which receives messages over a channel.
 
 pub mod args;
 pub mod callers;
--- a/crates/kitetraild/src/main.rs
+++ b/crates/kitetraild/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon.
+//! The entry point of the daemon.
 
 use std::process::ExitCode;
 
--- a/crates/kitetraild/src/metrics.rs
+++ b/crates/kitetraild/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the daemon counts, and the page that shows it.
+//! The daemon's metrics and the page that exports them.
 
 use kitetrail_platform::SilenceCounts;
 use opentelemetry::{
@@ -8,7 +8,7 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// What the daemon counts.
+/// The daemon's metrics.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     registry: Registry,
@@ -30,7 +30,7 @@
 }
 
 impl Metrics {
-    /// Counters at zero.
+    /// Creates the metrics, with all counters at zero.
     pub fn new() -> Result<Self, opentelemetry_sdk::error::OTelSdkError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -120,76 +120,76 @@
         self.commits.add(1, &[KeyValue::new("answer", answer)]);
     }
 
-    /// Counts an entry in the list of workers that names none to use.
+    /// Counts an entry in the list of workers that does not describe a usable worker.
     pub fn note_unusable_entry(&self, reason: &'static str) {
         self.unusable_entries.add(1, &[KeyValue::new("reason", reason)]);
     }
 
-    /// Counts a crash of a worker against a task that ran there.
+    /// Counts a crash of a worker that is attributed to a task that ran on the worker.
     pub fn note_task_crash(&self, evidence: &'static str) {
         self.task_crashes.add(1, &[KeyValue::new("evidence", evidence)]);
     }
 
-    /// Counts a job that failed because a task crashes its workers.
+    /// Counts a job that failed because one of its tasks crashes its workers.
     pub fn note_crashing_job(&self) {
         self.crashing_jobs.add(1, &[]);
     }
 
-    /// Counts a worker that started again under its id.
+    /// Counts a worker that restarted under the same id.
     pub fn note_worker_restart(&self) {
         self.worker_restarts.add(1, &[]);
     }
 
-    /// Counts a suspension of the box's machine.
+    /// Counts a suspension of the machine that runs this box.
     pub fn note_suspension(&self) {
         self.suspensions.add(1, &[]);
     }
 
-    /// Counts a question that a policy failed to answer.
+    /// Counts a call of a policy function that failed.
     pub fn note_policy_fault(&self, function: &'static str) {
         self.policy_faults.add(1, &[KeyValue::new("function", function)]);
     }
 
-    /// Counts a message to another daemon.
+    /// Counts a message sent to another daemon.
     pub fn note_peer_message(&self, kind: &'static str) {
         self.peer_messages.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    /// Counts lines that the log left out.
+    /// Counts lines that the log dropped.
     pub fn note_log_lines_left_out(&self, lines: u64) {
         self.log_lines_left_out.add(lines, &[]);
     }
 
-    /// Shows how often connections were found silent.
-    pub fn show_silences(&self, silences: SilenceCounts) {
+    /// Exports how often connections were found unresponsive.
+    pub fn show_silences(&self, silence_counts: SilenceCounts) {
         let meter = self.provider.meter("kitetrail");
         let _ = meter
             .u64_observable_counter("kitetrail.connections.silent")
             .with_description("Connections that went silent and were replaced, by service")
             .with_callback(move |counter| {
-                for (service, count) in silences.counts() {
+                for (service, count) in silence_counts.counts() {
                     counter.observe(count, &[KeyValue::new("service", service)]);
                 }
             })
             .build();
     }
 
-    /// Tells how many zones are evacuated.
+    /// Records the number of evacuated zones.
     pub fn note_evacuated_zones(&self, zones: u64) {
         self.evacuated_zones.record(zones, &[]);
     }
 
-    /// Tells how many runs are left in evacuated zones.
+    /// Records the number of runs that are left in evacuated zones.
     pub fn note_evacuated_runs_left(&self, runs: u64) {
         self.evacuated_runs_left.record(runs, &[]);
     }
 
-    /// All counters as a scrape page.
+    /// Returns all metrics in the Prometheus text format.
     pub fn page(&self) -> String {
         let mut page = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut page) {
             Ok(()) => String::from_utf8_lossy(&page).into_owned(),
-            Err(error) => format!("# the counters can't be written: {error}\n"),
+            Err(error) => format!("# the metrics can't be encoded: {error}\n"),
         }
     }
 }
--- a/crates/kitetraild/src/settings.rs
+++ b/crates/kitetraild/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a daemon, read from TOML and checked before anything starts.
+//! The settings of a daemon, which are read from TOML and validated before anything starts.
 
 use std::{
     fs, io,
@@ -14,36 +14,36 @@
 
 use crate::logging::{Format, Level};
 
-/// The longest time a setting may give, in milliseconds: one day.
+/// The longest duration of a setting, in milliseconds: one day.
 const MAX_MS: u64 = 24 * 60 * 60 * 1_000;
 
-/// Settings that can't be used.
+/// An error in the settings.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file can't be read.
     #[error("{}: {cause}; give the path of a readable file with --settings", .path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// The system's error.
         cause: io::Error,
     },
-    /// The text is wrong.
-    #[error("{}: {cause}\nMend the line shown; docs/operators/settings.md lists every setting.", .path.display())]
+    /// The file's contents are invalid.
+    #[error("{}: {cause}\nFix the line shown; docs/operators/settings.md lists every setting.", .path.display())]
     Invalid {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong, with its line.
+        /// The problem and its line.
         cause: String,
     },
 }
 
-/// A span of time, given in milliseconds, that is neither zero nor absurd.
+/// A duration, given in milliseconds, from 1 millisecond to one day.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Millis(Duration);
 
 impl Millis {
-    /// The span.
+    /// Returns the duration.
     pub fn get(self) -> Duration {
         self.0
     }
@@ -67,72 +67,72 @@
     pub box_id: BoxId,
     /// The availability zone of this box.
     pub zone: ZoneId,
-    /// Where to listen.
+    /// The addresses on which the daemon listens.
     pub listen: Listen,
-    /// Where the platform's services are.
+    /// The platform's services.
     pub platform: Platform,
-    /// How shards are owned.
+    /// The ownership of shards.
     #[serde(default)]
     pub shards: Shards,
-    /// How requests are served.
+    /// The handling of requests.
     #[serde(default)]
     pub requests: Requests,
-    /// Who may change what.
+    /// The access of operators.
     #[serde(default)]
     pub operators: Operators,
-    /// The log.
+    /// The log output.
     #[serde(default)]
     pub log: Log,
 }
 
-/// Where to listen.
+/// The addresses on which the daemon listens.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For operators.
+    /// The address for operators.
     pub operators: SocketAddr,
-    /// For the other daemons.
+    /// The address for other daemons.
     pub peers: SocketAddr,
 }
 
-/// Where the platform's services are.
+/// The addresses and timeouts of the platform's services.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// The table service.
+    /// The address of the table service.
     pub table: SocketAddr,
-    /// The box list.
+    /// The address of the box list.
     pub box_list: SocketAddr,
-    /// How long an answer of the table may take.
+    /// The timeout of requests to the table.
     #[serde(default = "default_table_timeout")]
     pub table_timeout_ms: Millis,
-    /// How often the box list is read.
+    /// The interval at which the box list is read.
     #[serde(default = "default_box_list_poll")]
     pub box_list_poll_ms: Millis,
-    /// How long an answer of a worker may take.
+    /// The timeout of requests to a worker.
     #[serde(default = "default_worker_timeout")]
     pub worker_timeout_ms: Millis,
 }
 
-/// How shards are owned. What isn't given has the default of the core.
+/// The ownership of shards. Settings that are left out take the core's defaults.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Shards {
-    /// How a task's worker is chosen.
+    /// The strategy that chooses a task's worker.
     pub placer: PlacerChoice,
-    /// How many racks make up a shard.
+    /// The number of racks in a shard.
     pub racks_per_shard: u16,
-    /// How long a shard's row must stay unchanged before another box takes over.
+    /// How long a shard's lease row must stay unchanged before another box takes the shard over.
     pub shard_lease_ms: Option<Millis>,
-    /// How long a task may run without a renewal.
+    /// How long a task may run without a lease renewal.
     pub task_lease_ms: Option<Millis>,
-    /// How often a worker is spoken to.
+    /// The interval at which the owner syncs with a worker.
     pub sync_interval_ms: Option<Millis>,
-    /// The least time between two commits of an owner.
+    /// The minimum time between two commits of an owner.
     pub commit_interval_ms: Option<Millis>,
-    /// How long jobs and watchers are renewed without the table.
+    /// How long leases of jobs and watchers are renewed while the table is unreachable.
     pub detached_renewal_ms: Option<Millis>,
 }
 
@@ -150,46 +150,46 @@
     }
 }
 
-/// How a task's worker is chosen.
+/// The strategy that chooses a task's worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlacerChoice {
-    /// By the least expected harm, with relief under pressure.
+    /// Chooses the worker with the least expected interference, and relieves overloaded workers.
     #[default]
     InterferenceAware,
-    /// The first with room, without relief, as a baseline.
+    /// Chooses the first worker with free capacity, without relief. Serves as a baseline.
     FirstFit,
 }
 
-/// How requests are served.
+/// The handling of requests.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Requests {
-    /// How a request's endpoint is chosen.
+    /// The strategy that chooses a request's endpoint.
     pub balancer: BalancerChoice,
-    /// Whether limits, the queue and ejection are in force. Off for a baseline only.
+    /// Whether concurrency limits, the queue and ejection are enabled. Disabled only for a baseline.
     pub limits: bool,
-    /// How long a request may take if its caller doesn't say.
+    /// The timeout of a request whose caller does not give one.
     pub default_timeout_ms: Millis,
-    /// The longest a caller may ask for.
+    /// The longest timeout that a caller may request.
     pub max_timeout_ms: Millis,
-    /// The longest a request may wait for an endpoint.
+    /// The longest time for which a request may wait for an endpoint.
     pub max_queue_wait_ms: Millis,
-    /// The most connections of callers.
+    /// The maximum number of connections from callers.
     pub max_connections: usize,
-    /// How long a caller may take to send its headers.
+    /// The timeout for reading a request's headers.
     pub header_timeout_ms: Millis,
-    /// The most bytes of a request's headers.
+    /// The maximum size of a request's headers, in bytes.
     pub max_header_bytes: usize,
-    /// The most bytes of a request's body.
+    /// The maximum size of a request's body, in bytes.
     pub max_body_bytes: u64,
-    /// How many requests an endpoint runs at a time.
+    /// The number of requests that an endpoint runs concurrently.
     pub slots_per_endpoint: u32,
-    /// How many connections an endpoint accepts from all boxes together.
+    /// The number of connections that an endpoint accepts from all boxes together.
     pub connections_per_endpoint: u32,
-    /// How long the answer to a call with a key is kept for repeats.
+    /// How long the answer to a call with an idempotency key is stored for repeats.
     pub call_retention_ms: Millis,
-    /// How long a planned stop may take.
+    /// The longest time for which a graceful shutdown waits for requests.
     pub drain_timeout_ms: Millis,
 }
 
@@ -214,35 +214,35 @@
     }
 }
 
-/// Who may change what. Without tokens anyone who reaches the address may do anything.
+/// The access of operators. Without tokens, anyone who can connect to the address has full access.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Operators {
-    /// The tokens that are taken.
+    /// The tokens that are accepted.
     pub tokens: Vec<Token>,
 }
 
-/// A token, known by its digest alone.
+/// A token, identified by its digest only.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Token {
-    /// Whose it is, for the record.
+    /// The name of the token's holder, for the audit log.
     pub name: String,
-    /// The SHA-256 of the token, as 64 hexadecimal digits.
+    /// The SHA-256 digest of the token, as 64 hexadecimal digits.
     pub sha256: Digest,
-    /// What its bearer may do.
+    /// The role of the token's bearer.
     pub role: OperatorRole,
-    /// The team whose specs its bearer may change. All, if left out.
+    /// The team whose specs the bearer may change. If left out, the bearer may change all teams' specs.
     pub team: Option<TeamId>,
 }
 
-/// What a token's bearer may do.
+/// The permissions of a token's bearer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OperatorRole {
-    /// Look and change.
+    /// May read and change.
     Operator,
-    /// Look.
+    /// May only read.
     ReadOnly,
 }
 
@@ -251,7 +251,7 @@
 pub struct Digest(String);
 
 impl Digest {
-    /// The digest of a token.
+    /// Computes the digest of a token.
     pub fn of(token: &str) -> Self {
         let digest = Sha256::digest(token.as_bytes());
         Self(digest.iter().map(|byte| format!("{byte:02x}")).collect())
@@ -272,58 +272,58 @@
     }
 }
 
-/// How a request's endpoint is chosen.
+/// The strategy that chooses a request's endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BalancerChoice {
-    /// By the shortest expected wait among a few random ones.
+    /// Chooses the endpoint with the shortest expected wait among a few random ones.
     #[default]
     PowerOfTwo,
-    /// One after the other, as a baseline.
+    /// Chooses the endpoints in turn. Serves as a baseline.
     RoundRobin,
 }
 
-/// The log.
+/// The log output.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Log {
-    /// From which severity on lines are written.
+    /// The lowest severity of the lines that are written.
     pub level: Level,
-    /// How lines are written.
+    /// The format of the lines.
     pub format: Format,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let text = fs::read_to_string(path)
             .map_err(|cause| SettingsError::Unreadable { path: path.to_owned(), cause })?;
         Self::parse(&text).map_err(|cause| SettingsError::Invalid { path: path.to_owned(), cause })
     }
 
-    /// Reads and checks a text. The error names the line.
+    /// Parses and validates settings in TOML. The error names the line.
     pub fn parse(text: &str) -> Result<Self, String> {
         let settings: Self = toml::from_str(text).map_err(|error| error.to_string())?;
         settings.check()?;
         Ok(settings)
     }
 
-    /// The core's settings for shards.
+    /// Returns the core's settings for shards.
     pub fn shard_settings(&self) -> ShardSettings {
         let defaults = ShardSettings::default();
-        let or = |given: Option<Millis>, default| given.map_or(default, Millis::get);
+        let value_or = |given: Option<Millis>, default| given.map_or(default, Millis::get);
         let given = &self.shards;
         ShardSettings {
-            shard_lease: or(given.shard_lease_ms, defaults.shard_lease),
-            task_lease: or(given.task_lease_ms, defaults.task_lease),
-            sync_interval: or(given.sync_interval_ms, defaults.sync_interval),
-            commit_interval: or(given.commit_interval_ms, defaults.commit_interval),
-            detached_renewal: or(given.detached_renewal_ms, defaults.detached_renewal),
+            shard_lease: value_or(given.shard_lease_ms, defaults.shard_lease),
+            task_lease: value_or(given.task_lease_ms, defaults.task_lease),
+            sync_interval: value_or(given.sync_interval_ms, defaults.sync_interval),
+            commit_interval: value_or(given.commit_interval_ms, defaults.commit_interval),
+            detached_renewal: value_or(given.detached_renewal_ms, defaults.detached_renewal),
             ..defaults
         }
     }
 
-    /// The core's settings for routing.
+    /// Returns the core's settings for routing.
     pub fn router_settings(&self) -> RouterSettings {
         RouterSettings::builder()
             .zone(self.zone.clone())
@@ -334,7 +334,7 @@
             .build()
     }
 
-    /// Checks what no single setting shows.
+    /// Checks constraints that involve several settings or can't be expressed by a type.
     fn check(&self) -> Result<(), String> {
         let shards = self.shard_settings();
         if shards.task_lease < shards.sync_interval * 3 {
