--- a/crates/kitetraild/src/callers/balancer.rs
+++ b/crates/kitetraild/src/callers/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancer that the settings choose.
+//! The balancer that is selected in the settings.
 
 use kitetrail_core::{
     Time,
@@ -8,17 +8,17 @@
 
 use crate::settings::BalancerChoice;
 
-/// The balancer that the settings choose.
+/// The balancer that is selected in the settings.
 #[derive(Debug, Clone, Copy)]
 pub enum ChosenBalancer {
-    /// By the shortest expected wait.
+    /// Chooses the endpoint with the shortest expected wait among a few random ones.
     PowerOfTwo(PowerOfTwo),
-    /// One after the other.
+    /// Chooses the endpoints in turn.
     RoundRobin(RoundRobin),
 }
 
 impl ChosenBalancer {
-    /// The balancer of a choice.
+    /// Creates the balancer for a setting.
     pub fn new(choice: BalancerChoice) -> Self {
         match choice {
             BalancerChoice::PowerOfTwo => Self::PowerOfTwo(PowerOfTwo),
--- a/crates/kitetraild/src/callers/body.rs
+++ b/crates/kitetraild/src/callers/body.rs
@@ -1,4 +1,4 @@
-//! The bodies of requests and answers as they pass through.
+//! The bodies of requests and responses that are proxied.
 
 use std::{
     cell::Cell,
@@ -14,31 +14,31 @@
 use thiserror::Error;
 use tokio::task::AbortHandle;
 
-use super::{in_flight::InFlight, pool::Connection};
+use super::{in_flight::InFlightRequest, pool::Connection};
 
-/// How long an answer may make no progress before it is cut off.
-const STALL_LIMIT: Duration = Duration::from_secs(30);
-/// How often progress is looked at.
-const STALL_CHECK: Duration = Duration::from_secs(1);
+/// How long a response may make no progress before its connection is aborted.
+const STALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// The interval at which progress is checked.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A body that broke off.
+/// An error while a body is read.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// The other side broke off.
-    #[error("the body broke off: {0}")]
-    BrokeOff(#[from] hyper::Error),
-    /// It is larger than allowed.
+    /// The sender ended the body early.
+    #[error("the body was interrupted: {0}")]
+    Interrupted(#[from] hyper::Error),
+    /// The body is larger than allowed.
     #[error("the body is too large")]
     TooLarge,
 }
 
-/// The body of a request on its way to an endpoint.
+/// The body of a request to an endpoint.
 #[derive(Debug)]
 pub enum RequestBody {
-    /// Read already, so that it can be sent again.
-    Whole(Full<Bytes>),
-    /// Passed on as it comes in.
-    Stream(Limited<Incoming>),
+    /// The body was read completely, so it can be sent again.
+    Buffered(Full<Bytes>),
+    /// The body is forwarded while it is received.
+    Streamed(Limited<Incoming>),
 }
 
 impl Body for RequestBody {
@@ -50,8 +50,10 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Whole(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
-            Self::Stream(body) => {
+            Self::Buffered(body) => {
+                Pin::new(body).poll_frame(context).map_err(|never| match never {})
+            }
+            Self::Streamed(body) => {
                 Pin::new(body).poll_frame(context).map_err(|_| BodyError::TooLarge)
             }
         }
@@ -59,84 +61,84 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
-            Self::Stream(body) => body.size_hint(),
+            Self::Buffered(body) => body.size_hint(),
+            Self::Streamed(body) => body.size_hint(),
         }
     }
 }
 
-/// The body of an answer on its way to a caller.
-pub enum AnswerBody {
-    /// Known whole.
-    Whole(Full<Bytes>),
-    /// Passed on as it comes in.
-    Stream(Box<AnswerStream>),
+/// The body of a response to a caller.
+pub enum ResponseBody {
+    /// The body is completely available.
+    Buffered(Full<Bytes>),
+    /// The body is forwarded while it is received.
+    Streamed(Box<ResponseStream>),
 }
 
-/// An answer that is passed on as it comes in.
+/// A response body that is forwarded while it is received.
 ///
-/// The endpoint's connection is used again only after the last byte came. If the answer
-/// breaks off, so does the caller's: it is never a short success.
-pub struct AnswerStream {
+/// The endpoint's connection is reused only after the last byte arrived. If the endpoint's response
+/// is interrupted, the caller's response is too, so a truncated response never looks like a success.
+pub struct ResponseStream {
     incoming: Incoming,
     connection: Option<Connection>,
-    in_flight: Option<InFlight>,
+    in_flight: Option<InFlightRequest>,
     failed: bool,
-    progress: Rc<Cell<Instant>>,
-    watch: AbortHandle,
+    last_progress: Rc<Cell<Instant>>,
+    watchdog: AbortHandle,
 }
 
-impl AnswerStream {
-    /// Passes on an answer of `in_flight` that comes in on `connection`.
+impl ResponseStream {
+    /// Forwards the response to `in_flight`, which arrives on `connection`.
     pub fn new(
         incoming: Incoming,
         connection: Connection,
-        in_flight: InFlight,
+        in_flight: InFlightRequest,
         failed: bool,
     ) -> Self {
-        let progress = Rc::new(Cell::new(Instant::now()));
-        let watch = watch_progress(Rc::clone(&progress), connection.abort_handle());
+        let last_progress = Rc::new(Cell::new(Instant::now()));
+        let watchdog = abort_when_stalled(Rc::clone(&last_progress), connection.abort_handle());
         Self {
             incoming,
             connection: Some(connection),
             in_flight: Some(in_flight),
             failed,
-            progress,
-            watch,
+            last_progress,
+            watchdog,
         }
     }
 
-    fn end(&mut self, whole: bool) {
-        self.watch.abort();
+    fn finish(&mut self, complete: bool) {
+        self.watchdog.abort();
         let (Some(connection), Some(in_flight)) = (self.connection.take(), self.in_flight.take())
         else {
             return;
         };
-        match whole {
+        match complete {
             true => in_flight.complete(connection, self.failed),
-            false => in_flight.broke_off(),
+            false => in_flight.fail(),
         }
     }
 }
 
-impl Drop for AnswerStream {
+impl Drop for ResponseStream {
     fn drop(&mut self) {
-        self.watch.abort();
+        self.watchdog.abort();
     }
 }
 
-/// Cuts a connection off when no byte of its answer was passed on for too long.
-fn watch_progress(progress: Rc<Cell<Instant>>, connection: AbortHandle) -> AbortHandle {
-    let watch = tokio::task::spawn_local(async move {
-        while progress.get().elapsed() < STALL_LIMIT {
-            tokio::time::sleep(STALL_CHECK).await;
+/// Aborts a connection when no byte of its response was forwarded for [`STALL_TIMEOUT`].
+fn abort_when_stalled(last_progress: Rc<Cell<Instant>>, connection: AbortHandle) -> AbortHandle {
+    let watchdog = tokio::task::spawn_local(async move {
+        while last_progress.get().elapsed() < STALL_TIMEOUT {
+            tokio::time::sleep(STALL_CHECK_INTERVAL).await;
         }
         connection.abort();
     });
-    watch.abort_handle()
+    watchdog.abort_handle()
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -145,37 +147,37 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let stream = match self.get_mut() {
-            Self::Whole(body) => {
+            Self::Buffered(body) => {
                 return Pin::new(body).poll_frame(context).map_err(|never| match never {});
             }
-            Self::Stream(stream) => stream,
+            Self::Streamed(stream) => stream,
         };
         let polled = Pin::new(&mut stream.incoming).poll_frame(context);
         match &polled {
             Poll::Pending => {}
             Poll::Ready(Some(Ok(_))) => {
-                stream.progress.set(Instant::now());
+                stream.last_progress.set(Instant::now());
                 if stream.incoming.is_end_stream() {
-                    stream.end(true);
+                    stream.finish(true);
                 }
             }
-            Poll::Ready(None) => stream.end(true),
-            Poll::Ready(Some(Err(_))) => stream.end(false),
+            Poll::Ready(None) => stream.finish(true),
+            Poll::Ready(Some(Err(_))) => stream.finish(false),
         }
-        polled.map_err(BodyError::BrokeOff)
+        polled.map_err(BodyError::Interrupted)
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.is_end_stream(),
-            Self::Stream(stream) => stream.incoming.is_end_stream(),
+            Self::Buffered(body) => body.is_end_stream(),
+            Self::Streamed(stream) => stream.incoming.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
-            Self::Stream(stream) => stream.incoming.size_hint(),
+            Self::Buffered(body) => body.size_hint(),
+            Self::Streamed(stream) => stream.incoming.size_hint(),
         }
     }
 }
--- a/crates/kitetraild/src/callers/call.rs
+++ b/crates/kitetraild/src/callers/call.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for, read from the head of its request.
+//! A caller's call, parsed from the head of its HTTP request.
 
 use std::time::Duration;
 
@@ -9,84 +9,85 @@
 
 use crate::settings::Requests;
 
-/// The start of the path of every call.
-const PREFIX: &str = "/services/";
-/// The longest request id and the longest key.
+/// The path prefix of all calls.
+const PATH_PREFIX: &str = "/services/";
+/// The maximum length of a request id and of an idempotency key.
 const MAX_ID_LEN: usize = 128;
 
-/// Why a request is no call. It was not run.
+/// The reason why a request is not a valid call. The request was not run.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum BadCall {
-    /// The path names no service.
+pub enum CallError {
+    /// The path does not name a service.
     #[error("the path must be /services/NAME/..., but is {0}")]
     Path(String),
-    /// A header can't be read.
+    /// A header is malformed.
     #[error("the header {name} must be {expected}")]
     Header {
-        /// The header.
+        /// The name of the header.
         name: &'static str,
-        /// What it must be.
+        /// A description of valid values.
         expected: &'static str,
     },
     /// The body is larger than allowed.
     #[error("the body has {length} bytes, but at most {limit} are taken")]
     TooLarge {
-        /// What the caller announced.
+        /// The `content-length` of the request.
         length: u64,
-        /// The limit.
+        /// The maximum body size.
         limit: u64,
     },
 }
 
-impl BadCall {
-    /// The HTTP status of the answer.
+impl CallError {
+    /// Returns the HTTP status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
-            BadCall::Path(_) => StatusCode::NOT_FOUND,
-            BadCall::Header { .. } => StatusCode::BAD_REQUEST,
-            BadCall::TooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
+            CallError::Path(_) => StatusCode::NOT_FOUND,
+            CallError::Header { .. } => StatusCode::BAD_REQUEST,
+            CallError::TooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
         }
     }
 }
 
-/// What a caller asks for.
+/// A call to a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// The service.
+    /// The called service.
     pub service: SpecName,
-    /// The request's id, if the caller gave one.
+    /// The request id, if the caller gave one.
     pub id: Option<String>,
-    /// How long it may take.
+    /// The timeout of the call.
     pub timeout: Duration,
-    /// Whether it may safely run more than once.
+    /// Whether the call may safely run more than once.
     pub repeatable: bool,
-    /// The key under which it must run at most once, whichever box it enters.
+    /// The idempotency key under which the call must run at most once, whichever box receives it.
     pub key: Option<CallKey>,
-    /// The announced length of its body, if any.
+    /// The `content-length` of the request, if it has one.
     pub body_len: Option<u64>,
 }
 
 impl Call {
-    /// Reads a call.
-    pub fn read(parts: &Parts, limits: &Requests) -> Result<Self, BadCall> {
+    /// Parses a call from the head of a request.
+    pub fn parse(parts: &Parts, limits: &Requests) -> Result<Self, CallError> {
         let path = parts.uri.path();
-        let service = service_of(path).ok_or_else(|| BadCall::Path(path.to_owned()))?;
-        let id = text(&parts.headers, headers::REQUEST_ID)?.map(str::to_owned);
-        let key = text(&parts.headers, headers::IDEMPOTENCY_KEY)?;
-        let body_len = number(&parts.headers, "content-length")?;
+        let service = service_from_path(path).ok_or_else(|| CallError::Path(path.to_owned()))?;
+        let id = id_header(&parts.headers, headers::REQUEST_ID)?.map(str::to_owned);
+        let key = id_header(&parts.headers, headers::IDEMPOTENCY_KEY)?;
+        let body_len = integer_header(&parts.headers, "content-length")?;
         let limit = limits.max_body_bytes;
         if let Some(length) = body_len.filter(|length| *length > limit) {
-            return Err(BadCall::TooLarge { length, limit });
+            return Err(CallError::TooLarge { length, limit });
         }
-        let timeout = match number(&parts.headers, headers::TIMEOUT_MS)? {
+        let timeout = match integer_header(&parts.headers, headers::TIMEOUT_MS)? {
             Some(ms) => Duration::from_millis(ms).min(limits.max_timeout_ms.get()),
             None => limits.default_timeout_ms.get(),
         };
-        let declared = parts.headers.get(headers::REPEATABLE);
-        let declared = declared.is_some_and(|value| value.as_bytes() == b"true");
+        let declared_repeatable = parts.headers.get(headers::REPEATABLE);
+        let declared_repeatable =
+            declared_repeatable.is_some_and(|value| value.as_bytes() == b"true");
         Ok(Self {
             key: key.map(|key| CallKey { service: service.clone(), key: key.to_owned() }),
-            repeatable: key.is_none() && (declared || is_safe_to_repeat(&parts.method)),
+            repeatable: key.is_none() && (declared_repeatable || is_idempotent(&parts.method)),
             service,
             id,
             timeout,
@@ -95,18 +96,18 @@
     }
 }
 
-fn service_of(path: &str) -> Option<SpecName> {
-    let rest = path.strip_prefix(PREFIX)?;
+fn service_from_path(path: &str) -> Option<SpecName> {
+    let rest = path.strip_prefix(PATH_PREFIX)?;
     let name = rest.split('/').next()?;
     name.parse().ok()
 }
 
-/// Whether HTTP says that a method means the same when done twice.
-fn is_safe_to_repeat(method: &Method) -> bool {
+/// Returns whether HTTP defines a method as idempotent.
+fn is_idempotent(method: &Method) -> bool {
     matches!(*method, Method::GET | Method::HEAD | Method::OPTIONS | Method::PUT | Method::DELETE)
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, BadCall> {
+fn id_header<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, CallError> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-._:".contains(c);
     match value.to_str() {
@@ -115,13 +116,13 @@
         }
         _ => {
             let expected = "1 to 128 letters, digits, dots, dashes, colons and underscores";
-            Err(BadCall::Header { name, expected })
+            Err(CallError::Header { name, expected })
         }
     }
 }
 
-fn number(headers: &HeaderMap, name: &'static str) -> Result<Option<u64>, BadCall> {
+fn integer_header(headers: &HeaderMap, name: &'static str) -> Result<Option<u64>, CallError> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let number = value.to_str().ok().and_then(|text| text.parse().ok());
-    number.map(Some).ok_or(BadCall::Header { name, expected: "a whole number" })
+    number.map(Some).ok_or(CallError::Header { name, expected: "a whole number" })
 }
--- a/crates/kitetraild/src/callers/claims.rs
+++ b/crates/kitetraild/src/callers/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on calls that must not run twice, many to a transaction.
+//! Claims on calls that must run at most once, batched into transactions.
 
 use std::{
     cell::{Cell, RefCell},
@@ -18,182 +18,194 @@
     time::Instant,
 };
 
-/// The least time between two transactions.
+/// The minimum time between two transactions.
 const COMMIT_INTERVAL: Duration = Duration::from_millis(50);
-/// The most changes in a transaction.
-const MAX_CHANGES: usize = 200;
-/// How often a transaction without an answer is looked into before its claims are
-/// answered without it.
+/// The maximum number of changes in a transaction.
+const MAX_CHANGES_PER_TRANSACTION: usize = 200;
+/// The number of attempts to find out the result of a transaction without an answer, before its
+/// claims are answered as unavailable.
 const RESOLVE_TRIES: u32 = 3;
-/// How long to wait between two of those tries.
-const RESOLVE_PAUSE: Duration = Duration::from_millis(50);
-/// How long to wait before looking for claims that may have come through late.
-const CLEANUP_PAUSE: Duration = Duration::from_secs(1);
-/// The most such claims that are looked for.
-const MAX_CLEANUP: usize = 10_000;
+/// The delay between two of these attempts.
+const RESOLVE_DELAY: Duration = Duration::from_millis(50);
+/// The interval at which claims with an unknown result are looked up.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
+/// The maximum number of claims with an unknown result that are tracked.
+const MAX_UNRESOLVED_CLAIMS: usize = 10_000;
 
-type Answer = oneshot::Sender<(ClaimAnswer, Version)>;
+type ClaimReply = oneshot::Sender<(ClaimAnswer, Version)>;
 
-/// A change that waits for the next transaction.
-struct Waiting {
+/// A change that is queued for the next transaction.
+struct PendingChange {
     key: CallKey,
     version: Version,
     change: CallChange,
-    answer: Option<Answer>,
+    answer: Option<ClaimReply>,
 }
 
-/// The claims of this box.
+/// The claims of this box and their pending changes.
 pub struct Claims {
     table: HttpTable,
     holder: BoxId,
     incarnation: u64,
     sequence: Cell<u64>,
-    waiting: RefCell<Vec<Waiting>>,
-    wake: Notify,
-    /// Claims that were answered "no table" but may have come through.
-    doubtful: RefCell<HashMap<CallKey, OpId>>,
-    /// Calls whose answers are kept, oldest first, to be forgotten in time.
-    kept: RefCell<VecDeque<Kept>>,
+    pending: RefCell<Vec<PendingChange>>,
+    wakeup: Notify,
+    /// Claims that were answered as unavailable but may have been committed.
+    unresolved: RefCell<HashMap<CallKey, OpId>>,
+    /// Calls whose answers are stored, oldest first, until their retention ends.
+    retained: RefCell<VecDeque<RetainedAnswer>>,
     retention: Duration,
 }
 
-/// A call whose answer is kept.
-struct Kept {
-    since: Instant,
+/// A call whose answer is stored.
+struct RetainedAnswer {
+    retained_at: Instant,
     key: CallKey,
     version: Version,
 }
 
-/// A claim that was granted. It is given back if the call was not sent.
+/// A granted claim. It is released when dropped, unless the call may have run.
 pub struct Claim {
     claims: Rc<Claims>,
     key: CallKey,
     version: Version,
-    sent: bool,
+    may_have_run: bool,
 }
 
 impl Claim {
-    /// Notes that the call may be sent from now on, so that the claim must stay whatever
-    /// becomes of the exchange, also if its caller hangs up.
-    pub fn keep(&mut self) {
-        self.sent = true;
+    /// Marks the call as sent, so that the claim persists whatever the result of the exchange, even if
+    /// the caller disconnects.
+    pub fn mark_sent(&mut self) {
+        self.may_have_run = true;
     }
 
-    /// Notes that the call was certainly not run: the claim is given back.
-    pub fn note_not_run(&mut self) {
-        self.sent = false;
+    /// Marks the call as certainly not run, so that the claim is released.
+    pub fn mark_not_run(&mut self) {
+        self.may_have_run = false;
     }
 
-    /// Keeps the call's answer for repeats: its status, and its body if that is known
-    /// whole, short and text.
-    pub fn finish(mut self, status: u16, body: Option<&[u8]>) {
-        self.sent = true;
+    /// Stores the call's answer for repeats: its status, and its body if it is complete, short
+    /// and valid UTF-8.
+    pub fn store_answer(mut self, status: u16, body: Option<&[u8]>) {
+        self.may_have_run = true;
         let short = body.filter(|body| body.len() <= calls::MAX_KEPT_ANSWER_BYTES);
         let body = short.and_then(|body| std::str::from_utf8(body).ok()).map(str::to_owned);
         let change = CallChange::Finish { status, body };
-        self.claims.add(self.key.clone(), self.version, change, None);
+        self.claims.enqueue(self.key.clone(), self.version, change, None);
     }
 }
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        if !self.sent {
-            self.claims.add(self.key.clone(), self.version, CallChange::Release, None);
+        if !self.may_have_run {
+            self.claims.enqueue(self.key.clone(), self.version, CallChange::Release, None);
         }
     }
 }
 
 impl Claims {
-    /// The claims of a box.
+    /// Creates an empty set of claims for a box.
     pub fn new(table: HttpTable, holder: BoxId, incarnation: u64, retention: Duration) -> Rc<Self> {
         Rc::new(Self {
             table,
             holder,
             incarnation,
             sequence: Cell::new(0),
-            waiting: RefCell::default(),
-            wake: Notify::new(),
-            doubtful: RefCell::default(),
-            kept: RefCell::default(),
+            pending: RefCell::default(),
+            wakeup: Notify::new(),
+            unresolved: RefCell::default(),
+            retained: RefCell::default(),
             retention,
         })
     }
 
-    /// Claims a call. Everything but a grant is an answer to pass on.
+    /// Claims a call. An error holds the answer for the caller.
     pub async fn claim(self: &Rc<Self>, key: CallKey) -> Result<Claim, ClaimAnswer> {
         let (answer, granted) = oneshot::channel();
-        self.add(key.clone(), Version(0), CallChange::Claim, Some(answer));
+        self.enqueue(key.clone(), Version(0), CallChange::Claim, Some(answer));
         match granted.await {
             Ok((ClaimAnswer::Granted, version)) => {
-                Ok(Claim { claims: Rc::clone(self), key, version, sent: false })
+                Ok(Claim { claims: Rc::clone(self), key, version, may_have_run: false })
             }
             Ok((answer, _)) => Err(answer),
             Err(_) => Err(ClaimAnswer::NoTable),
         }
     }
 
-    /// Sends transactions until the process ends.
+    /// Commits queued changes until the process ends.
     pub async fn run(self: Rc<Self>) {
-        tokio::task::spawn_local(Rc::clone(&self).clean_up());
+        tokio::task::spawn_local(Rc::clone(&self).run_cleanup());
         loop {
-            while self.waiting.borrow().is_empty() {
-                self.wake.notified().await;
+            while self.pending.borrow().is_empty() {
+                self.wakeup.notified().await;
             }
-            let started = Instant::now();
-            let batch = self.take_batch();
+            let started_at = Instant::now();
+            let batch = self.next_batch();
             self.commit(batch).await;
-            tokio::time::sleep_until(started + COMMIT_INTERVAL).await;
+            tokio::time::sleep_until(started_at + COMMIT_INTERVAL).await;
         }
     }
 
-    fn add(&self, key: CallKey, version: Version, change: CallChange, answer: Option<Answer>) {
-        self.waiting.borrow_mut().push(Waiting { key, version, change, answer });
-        self.wake.notify_one();
+    fn enqueue(
+        &self,
+        key: CallKey,
+        version: Version,
+        change: CallChange,
+        answer: Option<ClaimReply>,
+    ) {
+        self.pending.borrow_mut().push(PendingChange { key, version, change, answer });
+        self.wakeup.notify_one();
     }
 
-    /// The next changes, at most one to each key.
-    fn take_batch(&self) -> Vec<Waiting> {
-        let mut batch: Vec<Waiting> = Vec::new();
-        let mut later = Vec::new();
-        for waiting in self.waiting.borrow_mut().drain(..) {
-            let twice = batch.iter().any(|other| other.key == waiting.key);
-            match twice || batch.len() >= MAX_CHANGES {
-                true => later.push(waiting),
-                false => batch.push(waiting),
+    /// Removes the next batch from the queue, with at most one change to each key.
+    fn next_batch(&self) -> Vec<PendingChange> {
+        let mut batch: Vec<PendingChange> = Vec::new();
+        let mut deferred = Vec::new();
+        for pending in self.pending.borrow_mut().drain(..) {
+            let key_in_batch = batch.iter().any(|other| other.key == pending.key);
+            match key_in_batch || batch.len() >= MAX_CHANGES_PER_TRANSACTION {
+                true => deferred.push(pending),
+                false => batch.push(pending),
             }
         }
-        *self.waiting.borrow_mut() = later;
+        *self.pending.borrow_mut() = deferred;
         batch
     }
 
-    async fn commit(&self, mut batch: Vec<Waiting>) {
+    async fn commit(&self, mut batch: Vec<PendingChange>) {
         while !batch.is_empty() {
             self.sequence.set(self.sequence.get() + 1);
             let op = OpId::new(&self.holder, self.incarnation, self.sequence.get());
             let op = OpId::from_change(&format!("call-{op}"));
-            let changes: Vec<_> =
-                batch.iter().map(|w| (w.key.clone(), w.version, w.change.clone())).collect();
+            let changes: Vec<_> = batch
+                .iter()
+                .map(|pending| (pending.key.clone(), pending.version, pending.change.clone()))
+                .collect();
             let transaction =
                 calls::transaction(op.clone(), &self.holder, self.incarnation, &changes);
-            match self.resolve(&transaction, &batch).await {
-                CommitAnswer::Committed(version) => return self.grant(batch, version),
-                CommitAnswer::Conflict => batch = self.drop_conflicts(batch, &op).await,
-                CommitAnswer::Unknown => return self.leave_in_doubt(batch, &op),
+            match self.commit_and_resolve(&transaction, &batch).await {
+                CommitAnswer::Committed(version) => return self.complete_batch(batch, version),
+                CommitAnswer::Conflict => batch = self.answer_conflicts(batch, &op).await,
+                CommitAnswer::Unknown => return self.mark_unresolved(batch, &op),
             }
         }
     }
 
-    /// Commits, and finds out what became of it if the answer is lost.
-    async fn resolve(&self, transaction: &Transaction, batch: &[Waiting]) -> CommitAnswer {
+    /// Commits a transaction, and reads its result back if the table's answer is lost.
+    async fn commit_and_resolve(
+        &self,
+        transaction: &Transaction,
+        batch: &[PendingChange],
+    ) -> CommitAnswer {
         let mut answer = self.table.commit(transaction).await;
-        let witness = batch.iter().find(|waiting| waiting.change != CallChange::Release);
+        let written_change = batch.iter().find(|pending| pending.change != CallChange::Release);
         for _ in 0..RESOLVE_TRIES {
             if answer != CommitAnswer::Unknown {
                 break;
             }
-            tokio::time::sleep(RESOLVE_PAUSE).await;
-            let Some(witness) = witness else { return CommitAnswer::Unknown };
-            match self.table.read(&witness.key.row()).await {
+            tokio::time::sleep(RESOLVE_DELAY).await;
+            let Some(written_change) = written_change else { return CommitAnswer::Unknown };
+            match self.table.read(&written_change.key.row()).await {
                 Ok(Some(row)) if row.op == transaction.op => {
                     return CommitAnswer::Committed(row.version);
                 }
@@ -204,86 +216,91 @@
         answer
     }
 
-    fn grant(&self, batch: Vec<Waiting>, version: Version) {
-        for waiting in batch {
-            if let CallChange::Finish { .. } = waiting.change {
-                let kept = Kept { since: Instant::now(), key: waiting.key, version };
-                self.kept.borrow_mut().push_back(kept);
+    fn complete_batch(&self, batch: Vec<PendingChange>, version: Version) {
+        for pending in batch {
+            if let CallChange::Finish { .. } = pending.change {
+                let retained =
+                    RetainedAnswer { retained_at: Instant::now(), key: pending.key, version };
+                self.retained.borrow_mut().push_back(retained);
                 continue;
             }
-            let Some(answer) = waiting.answer else { continue };
+            let Some(answer) = pending.answer else { continue };
             if answer.send((ClaimAnswer::Granted, version)).is_err() {
-                self.add(waiting.key, version, CallChange::Release, None);
+                self.enqueue(pending.key, version, CallChange::Release, None);
             }
         }
     }
 
-    /// Answers the claims that others hold and returns what may be tried again.
-    async fn drop_conflicts(&self, batch: Vec<Waiting>, op: &OpId) -> Vec<Waiting> {
-        let mut rest = Vec::new();
-        for waiting in batch {
-            let row = self.table.read(&waiting.key.row()).await;
-            let Some(answer) = waiting.answer else {
-                let fits = row.is_ok_and(|row| row.is_some_and(|r| r.version == waiting.version));
-                if fits {
-                    rest.push(Waiting { answer: None, ..waiting });
+    /// Answers claims that conflict with other holders and returns the changes that can be retried.
+    async fn answer_conflicts(&self, batch: Vec<PendingChange>, op: &OpId) -> Vec<PendingChange> {
+        let mut retryable = Vec::new();
+        for pending in batch {
+            let row = self.table.read(&pending.key.row()).await;
+            let Some(answer) = pending.answer else {
+                let version_matches =
+                    row.is_ok_and(|row| row.is_some_and(|row| row.version == pending.version));
+                if version_matches {
+                    retryable.push(PendingChange { answer: None, ..pending });
                 }
                 continue;
             };
             match row {
-                Ok(None) => rest.push(Waiting { answer: Some(answer), ..waiting }),
+                Ok(None) => retryable.push(PendingChange { answer: Some(answer), ..pending }),
                 Ok(Some(row)) => {
-                    let judged = calls::judge_claim(Some(&row), op);
-                    let _ = answer.send((judged.unwrap_or(ClaimAnswer::NoTable), row.version));
+                    let claim_answer = calls::judge_claim(Some(&row), op);
+                    let _ =
+                        answer.send((claim_answer.unwrap_or(ClaimAnswer::NoTable), row.version));
                 }
                 Err(_) => {
                     let _ = answer.send((ClaimAnswer::NoTable, Version(0)));
                 }
             }
         }
-        rest
+        retryable
     }
 
-    /// Answers claims that may or may not come through, and remembers to look for them.
-    fn leave_in_doubt(&self, batch: Vec<Waiting>, op: &OpId) {
-        for waiting in batch {
-            match waiting.answer {
+    /// Answers claims with an unknown result as unavailable, and records them for the cleanup.
+    fn mark_unresolved(&self, batch: Vec<PendingChange>, op: &OpId) {
+        for pending in batch {
+            match pending.answer {
                 Some(answer) => {
                     let _ = answer.send((ClaimAnswer::NoTable, Version(0)));
-                    let mut doubtful = self.doubtful.borrow_mut();
-                    if doubtful.len() < MAX_CLEANUP {
-                        doubtful.insert(waiting.key, op.clone());
+                    let mut unresolved = self.unresolved.borrow_mut();
+                    if unresolved.len() < MAX_UNRESOLVED_CLAIMS {
+                        unresolved.insert(pending.key, op.clone());
                     }
                 }
-                None => self.waiting.borrow_mut().push(waiting),
+                None => self.pending.borrow_mut().push(pending),
             }
         }
     }
 
-    /// Forgets answers that were kept for long enough.
-    fn forget_old(&self) {
-        let mut kept = self.kept.borrow_mut();
-        let is_old = |kept: &Kept| kept.since.elapsed() >= self.retention;
-        while kept.front().is_some_and(is_old) {
-            let Some(Kept { key, version, .. }) = kept.pop_front() else { return };
-            self.add(key, version, CallChange::Release, None);
+    /// Releases answers whose retention has ended.
+    fn release_expired(&self) {
+        let mut retained = self.retained.borrow_mut();
+        let is_expired =
+            |retained: &RetainedAnswer| retained.retained_at.elapsed() >= self.retention;
+        while retained.front().is_some_and(is_expired) {
+            let Some(RetainedAnswer { key, version, .. }) = retained.pop_front() else { return };
+            self.enqueue(key, version, CallChange::Release, None);
         }
     }
 
-    /// Gives back claims that came through after their calls were answered "no table".
-    async fn clean_up(self: Rc<Self>) {
+    /// Periodically releases claims that were committed after they were answered as unavailable, and
+    /// expired answers.
+    async fn run_cleanup(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(CLEANUP_PAUSE).await;
-            self.forget_old();
-            let doubtful: Vec<(CallKey, OpId)> =
-                self.doubtful.borrow().iter().map(|(k, op)| (k.clone(), op.clone())).collect();
-            for (key, op) in doubtful {
+            tokio::time::sleep(CLEANUP_INTERVAL).await;
+            self.release_expired();
+            let unresolved: Vec<(CallKey, OpId)> =
+                self.unresolved.borrow().iter().map(|(k, op)| (k.clone(), op.clone())).collect();
+            for (key, op) in unresolved {
                 let Ok(row) = self.table.read(&key.row()).await else { break };
                 if calls::judge_claim(row.as_ref(), &op) == Some(ClaimAnswer::Granted) {
                     let version = row.map(|row| row.version).unwrap_or_default();
-                    self.add(key.clone(), version, CallChange::Release, None);
+                    self.enqueue(key.clone(), version, CallChange::Release, None);
                 }
-                self.doubtful.borrow_mut().remove(&key);
+                self.unresolved.borrow_mut().remove(&key);
             }
         }
     }
--- a/crates/kitetraild/src/callers/entry/serving.rs
+++ b/crates/kitetraild/src/callers/entry/serving.rs
@@ -1,4 +1,4 @@
-//! Sees one call to its final answer: body, claim, exchanges.
+//! Handles one call: reads its body, claims its key and exchanges it with endpoints.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc};
 
@@ -11,37 +11,38 @@
 };
 use kitetrail_platform::headers;
 
-use super::{Answered, Entry, RANK, Sending, Told};
+use super::{CallerServer, DEFAULT_RANK, FinalResponse, PreparedRequest, RequestSummary};
 use crate::callers::{
     answer,
-    body::{AnswerBody, AnswerStream, RequestBody},
+    body::{RequestBody, ResponseBody, ResponseStream},
     call::Call,
     claims::Claim,
-    exchange::{Exchanged, MAX_WHOLE_BYTES, Outgoing, exchange},
-    in_flight::InFlight,
+    exchange::{ExchangeResult, MAX_BUFFERED_BYTES, OutgoingRequest, exchange},
+    in_flight::InFlightRequest,
 };
 
-impl Entry {
-    pub(super) async fn serve_call(
+impl CallerServer {
+    pub(super) async fn handle_call(
         self: Rc<Self>,
         number: RequestNumber,
         call: &Call,
         id: String,
         head: Parts,
         incoming: Incoming,
-        arrived: Time,
-    ) -> Answered {
-        let deadline = arrived + call.timeout;
-        let mut sending = Sending { head, id, whole: None, stream: None, deadline };
-        if let Err(told) = self.take_body(call, incoming, &mut sending).await {
-            return told;
+        arrived_at: Time,
+    ) -> FinalResponse {
+        let deadline = arrived_at + call.timeout;
+        let mut prepared =
+            PreparedRequest { head, id, buffered_body: None, streamed_body: None, deadline };
+        if let Err(response) = self.read_body(call, incoming, &mut prepared).await {
+            return response;
         }
         let mut claim = match &call.key {
             None => None,
             Some(key) => {
                 let claim = self.claims.claim(key.clone());
-                let left = deadline.since(self.now());
-                match tokio::time::timeout(left, claim).await {
+                let time_left = deadline.since(self.now());
+                match tokio::time::timeout(time_left, claim).await {
                     Ok(Ok(claim)) => Some(claim),
                     Ok(Err(answer)) => return claim_refused(answer),
                     Err(_) => return claim_refused(ClaimAnswer::NoTable),
@@ -52,59 +53,60 @@
             number,
             service: call.service.clone(),
             repeatable: call.repeatable,
-            rank: RANK,
+            rank: DEFAULT_RANK,
             deadline,
         };
         let verdict = self.router().borrow_mut().offer(arrival, self.now());
-        let in_flight = InFlight::new(Rc::clone(&self), number);
-        self.follow(verdict, in_flight, &mut sending, &mut claim).await
+        let in_flight = InFlightRequest::new(Rc::clone(&self), number);
+        self.follow_verdicts(verdict, in_flight, &mut prepared, &mut claim).await
     }
 
-    /// Reads a short body whole, so that it can be sent again; a long one is passed on.
-    async fn take_body(
+    /// Reads a short body completely, so that it can be sent again. A long body is streamed.
+    async fn read_body(
         &self,
         call: &Call,
         incoming: Incoming,
-        sending: &mut Sending,
-    ) -> Result<(), Answered> {
-        if call.body_len.is_none_or(|length| length > MAX_WHOLE_BYTES) && !is_empty(&incoming) {
-            sending.stream = Some(incoming);
+        prepared: &mut PreparedRequest,
+    ) -> Result<(), FinalResponse> {
+        if call.body_len.is_none_or(|length| length > MAX_BUFFERED_BYTES) && !is_empty(&incoming) {
+            prepared.streamed_body = Some(incoming);
             return Ok(());
         }
-        let left = sending.deadline.since(self.now());
-        let body = Limited::new(incoming, MAX_WHOLE_BYTES as usize).collect();
-        match tokio::time::timeout(left, body).await {
+        let time_left = prepared.deadline.since(self.now());
+        let body = Limited::new(incoming, MAX_BUFFERED_BYTES as usize).collect();
+        match tokio::time::timeout(time_left, body).await {
             Ok(Ok(body)) => {
-                sending.whole = Some(body.to_bytes());
+                prepared.buffered_body = Some(body.to_bytes());
                 Ok(())
             }
             Ok(Err(_)) | Err(_) => {
                 let reason = "the body did not come".to_owned();
                 let body = format!("not-run: {reason}\n");
-                let response = answer::own(StatusCode::REQUEST_TIMEOUT, Outcome::NotRun, body);
-                let told = Told { outcome: Outcome::NotRun, reason, endpoint: None };
-                Err(Answered { response, told })
+                let response =
+                    answer::local_response(StatusCode::REQUEST_TIMEOUT, Outcome::NotRun, body);
+                let summary = RequestSummary { outcome: Outcome::NotRun, reason, endpoint: None };
+                Err(FinalResponse { response, summary })
             }
         }
     }
 
-    /// Does what the router says until there is a final answer.
-    async fn follow(
+    /// Follows the router's verdicts until the request has a final response.
+    async fn follow_verdicts(
         &self,
         mut verdict: Verdict,
-        mut in_flight: InFlight,
-        sending: &mut Sending,
+        mut in_flight: InFlightRequest,
+        prepared: &mut PreparedRequest,
         claim: &mut Option<Claim>,
-    ) -> Answered {
+    ) -> FinalResponse {
         let mut endpoint = None;
         loop {
             verdict = match verdict {
                 Verdict::Send(id) => {
                     endpoint = Some(self.router().borrow().endpoint(id).address);
-                    match self.send(id, in_flight, sending, claim).await {
-                        Sent::Final(answered) => return answered,
-                        Sent::Again(verdict, same) => {
-                            in_flight = same;
+                    match self.send_to_endpoint(id, in_flight, prepared, claim).await {
+                        SendResult::Final(response) => return response,
+                        SendResult::Continue(verdict, returned) => {
+                            in_flight = returned;
                             verdict
                         }
                     }
@@ -114,155 +116,172 @@
                     None => Verdict::Deliver,
                 },
                 Verdict::GiveUp(given_up) => {
-                    in_flight.give_up();
+                    in_flight.mark_finished();
                     if given_up.outcome == Outcome::NotRun
                         && let Some(claim) = claim
                     {
-                        claim.note_not_run();
+                        claim.mark_not_run();
                     }
-                    let told = Told {
+                    let summary = RequestSummary {
                         outcome: given_up.outcome,
                         reason: given_up.reason.to_string(),
                         endpoint,
                     };
-                    return Answered { response: answer::given_up(given_up), told };
+                    return FinalResponse { response: answer::routing_failed(given_up), summary };
                 }
                 Verdict::Deliver => {
                     let reason = "nothing to deliver".to_owned();
                     let body = "unknown: the answer was lost\n";
-                    let response = answer::own(StatusCode::BAD_GATEWAY, Outcome::Unknown, body);
-                    let told = Told { outcome: Outcome::Unknown, reason, endpoint };
-                    return Answered { response, told };
+                    let response =
+                        answer::local_response(StatusCode::BAD_GATEWAY, Outcome::Unknown, body);
+                    let summary = RequestSummary { outcome: Outcome::Unknown, reason, endpoint };
+                    return FinalResponse { response, summary };
                 }
             };
         }
     }
 
-    /// Sends a request to an endpoint and passes on or judges what comes back.
-    async fn send(
+    /// Sends a request to an endpoint, and forwards the response or reports the failure to the router.
+    async fn send_to_endpoint(
         &self,
         id: EndpointId,
-        mut in_flight: InFlight,
-        sending: &mut Sending,
+        mut in_flight: InFlightRequest,
+        prepared: &mut PreparedRequest,
         claim: &mut Option<Claim>,
-    ) -> Sent {
-        in_flight.sending_to(id);
+    ) -> SendResult {
+        in_flight.set_endpoint(id);
         let address = self.router().borrow().endpoint(id).address;
-        let share = self.router().borrow().connection_share();
-        let left = sending.deadline.since(self.now());
-        let streamed = sending.whole.is_none();
-        let Some(body) = self.body_of(sending) else {
-            // A body that was passed on is gone; it can't be sent a second time. Dropped,
-            // the request takes itself out of the router.
-            return lost_stream(address);
+        let max_idle = self.router().borrow().connection_share();
+        let time_left = prepared.deadline.since(self.now());
+        let is_streamed = prepared.buffered_body.is_none();
+        let Some(body) = self.next_body(prepared) else {
+            // A streamed body can't be sent a second time. The dropped request removes itself
+            // from the router.
+            return body_not_resendable(address);
         };
         if let Some(claim) = claim {
-            claim.keep();
+            claim.mark_sent();
         }
         let sent = Cell::new(false);
-        let Sending { head, id, .. } = &*sending;
-        let outgoing = Outgoing { address, head, id, left, body, share };
-        let exchanged = exchange(&self.pool, outgoing, &sent);
-        let exchanged = tokio::time::timeout(left, exchanged).await;
+        let PreparedRequest { head, id, .. } = &*prepared;
+        let outgoing = OutgoingRequest { address, head, id, time_left, body, max_idle };
+        let result = exchange(&self.pool, outgoing, &sent);
+        let result = tokio::time::timeout(time_left, result).await;
         let sent = sent.get();
-        match exchanged {
-            Ok(Exchanged::Whole(parts, body, connection)) => {
+        match result {
+            Ok(ExchangeResult::Complete(parts, body, connection)) => {
                 if let Some(claim) = claim.take() {
-                    claim.finish(parts.status.as_u16(), Some(&body));
+                    claim.store_answer(parts.status.as_u16(), Some(&body));
                 }
                 in_flight.complete(connection, parts.status.is_server_error());
-                Sent::done(Response::from_parts(parts, AnswerBody::Whole(Full::new(body))), address)
+                SendResult::answered(
+                    Response::from_parts(parts, ResponseBody::Buffered(Full::new(body))),
+                    address,
+                )
             }
-            Ok(Exchanged::Head(parts, incoming, connection)) => {
+            Ok(ExchangeResult::Streaming(parts, incoming, connection)) => {
                 if let Some(claim) = claim.take() {
-                    claim.finish(parts.status.as_u16(), None);
+                    claim.store_answer(parts.status.as_u16(), None);
                 }
                 let failed = parts.status.is_server_error();
-                let stream = AnswerStream::new(incoming, connection, in_flight, failed);
-                let body = AnswerBody::Stream(Box::new(stream));
-                Sent::done(Response::from_parts(parts, body), address)
+                let stream = ResponseStream::new(incoming, connection, in_flight, failed);
+                let body = ResponseBody::Streamed(Box::new(stream));
+                SendResult::answered(Response::from_parts(parts, body), address)
             }
-            Ok(Exchanged::Refused) => Sent::again(in_flight, Exchange::Refused),
-            Ok(Exchanged::NotSent) if streamed && sent => Sent::again(in_flight, Exchange::Lost),
-            Ok(Exchanged::NotSent) => Sent::again(in_flight, Exchange::NotSent),
-            Ok(Exchanged::Lost(cause)) => {
-                log::debug!("route: {} to {address} broke off: {cause}", sending.id);
-                Sent::again(in_flight, Exchange::Lost)
+            Ok(ExchangeResult::Refused) => SendResult::continue_with(in_flight, Exchange::Refused),
+            Ok(ExchangeResult::NotSent) if is_streamed && sent => {
+                SendResult::continue_with(in_flight, Exchange::Lost)
             }
-            Err(_) if sent => Sent::timed_out(in_flight, address),
-            Err(_) => Sent::again(in_flight, Exchange::NotSent),
+            Ok(ExchangeResult::NotSent) => SendResult::continue_with(in_flight, Exchange::NotSent),
+            Ok(ExchangeResult::Lost(cause)) => {
+                log::debug!("route: {} to {address} failed: {cause}", prepared.id);
+                SendResult::continue_with(in_flight, Exchange::Lost)
+            }
+            Err(_) if sent => SendResult::timed_out(in_flight, address),
+            Err(_) => SendResult::continue_with(in_flight, Exchange::NotSent),
         }
     }
 
-    fn body_of(&self, sending: &mut Sending) -> Option<RequestBody> {
-        match &sending.whole {
-            Some(whole) => Some(RequestBody::Whole(Full::new(whole.clone()))),
+    fn next_body(&self, prepared: &mut PreparedRequest) -> Option<RequestBody> {
+        match &prepared.buffered_body {
+            Some(buffered_body) => Some(RequestBody::Buffered(Full::new(buffered_body.clone()))),
             None => {
                 let limit = self.parts.settings.requests.max_body_bytes as usize;
-                let stream = sending.stream.take()?;
-                Some(RequestBody::Stream(Limited::new(stream, limit)))
+                let streamed_body = prepared.streamed_body.take()?;
+                Some(RequestBody::Streamed(Limited::new(streamed_body, limit)))
             }
         }
     }
 }
 
-/// What came of sending a request once.
-enum Sent {
-    Final(Answered),
-    Again(Verdict, InFlight),
+/// The result of sending a request once.
+enum SendResult {
+    Final(FinalResponse),
+    Continue(Verdict, InFlightRequest),
 }
 
-impl Sent {
-    fn done(mut response: Response<AnswerBody>, address: SocketAddr) -> Self {
+impl SendResult {
+    fn answered(mut response: Response<ResponseBody>, address: SocketAddr) -> Self {
         let outcome = Outcome::Done;
-        answer::set(&mut response, HeaderName::from_static(headers::OUTCOME), "done");
+        answer::set_header(&mut response, HeaderName::from_static(headers::OUTCOME), "done");
         let reason = format!("answered {}", response.status().as_u16());
-        let told = Told { outcome, reason, endpoint: Some(address) };
-        Self::Final(Answered { response, told })
+        let summary = RequestSummary { outcome, reason, endpoint: Some(address) };
+        Self::Final(FinalResponse { response, summary })
     }
 
-    fn again(mut in_flight: InFlight, exchange: Exchange) -> Self {
+    fn continue_with(mut in_flight: InFlightRequest, exchange: Exchange) -> Self {
         let verdict = in_flight.finish_exchange(exchange);
-        Self::Again(verdict, in_flight)
+        Self::Continue(verdict, in_flight)
     }
 
-    fn timed_out(in_flight: InFlight, address: SocketAddr) -> Self {
+    fn timed_out(in_flight: InFlightRequest, address: SocketAddr) -> Self {
         let reason = "deadline passed at the endpoint".to_owned();
-        let told = Told { outcome: Outcome::Unknown, reason, endpoint: Some(address) };
+        let summary = RequestSummary { outcome: Outcome::Unknown, reason, endpoint: Some(address) };
         match in_flight.time_out() {
-            Some(given_up) => Self::Final(Answered { response: answer::given_up(given_up), told }),
+            Some(given_up) => {
+                Self::Final(FinalResponse { response: answer::routing_failed(given_up), summary })
+            }
             None => {
                 let body = "unknown: deadline passed\n";
                 let status = StatusCode::GATEWAY_TIMEOUT;
-                let response = answer::own(status, Outcome::Unknown, body);
-                Self::Final(Answered { response, told })
+                let response = answer::local_response(status, Outcome::Unknown, body);
+                Self::Final(FinalResponse { response, summary })
             }
         }
     }
 }
 
-/// The answer when a body that was passed on would have to be sent again.
-fn lost_stream(address: SocketAddr) -> Sent {
+/// Returns the response for a streamed body that would have to be sent again.
+fn body_not_resendable(address: SocketAddr) -> SendResult {
     let reason = "a long body can't be sent again".to_owned();
     let body = format!("unknown: {reason}\n");
-    let response = answer::own(StatusCode::BAD_GATEWAY, Outcome::Unknown, body);
-    let told = Told { outcome: Outcome::Unknown, reason, endpoint: Some(address) };
-    Sent::Final(Answered { response, told })
+    let response = answer::local_response(StatusCode::BAD_GATEWAY, Outcome::Unknown, body);
+    let summary = RequestSummary { outcome: Outcome::Unknown, reason, endpoint: Some(address) };
+    SendResult::Final(FinalResponse { response, summary })
 }
 
-fn claim_refused(answer: ClaimAnswer) -> Answered {
-    let told = |outcome, reason: &str| Told { outcome, reason: reason.to_owned(), endpoint: None };
+fn claim_refused(answer: ClaimAnswer) -> FinalResponse {
+    let summary = |outcome, reason: &str| RequestSummary {
+        outcome,
+        reason: reason.to_owned(),
+        endpoint: None,
+    };
     match answer {
         ClaimAnswer::Ran { status, body } => {
             let outcome = if body.is_some() { Outcome::Done } else { Outcome::Unknown };
-            Answered { response: answer::replay(status, body), told: told(outcome, "ran before") }
-        }
-        ClaimAnswer::Held => {
-            Answered { response: answer::held(), told: told(Outcome::Unknown, "key held") }
-        }
-        ClaimAnswer::NoTable | ClaimAnswer::Granted => {
-            Answered { response: answer::no_table(), told: told(Outcome::NotRun, "table silent") }
+            FinalResponse {
+                response: answer::replay(status, body),
+                summary: summary(outcome, "ran before"),
+            }
         }
+        ClaimAnswer::Held => FinalResponse {
+            response: answer::key_in_use(),
+            summary: summary(Outcome::Unknown, "key held"),
+        },
+        ClaimAnswer::NoTable | ClaimAnswer::Granted => FinalResponse {
+            response: answer::table_unavailable(),
+            summary: summary(Outcome::NotRun, "table silent"),
+        },
     }
 }
 
--- a/crates/kitetraild/src/callers/exchange.rs
+++ b/crates/kitetraild/src/callers/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with an endpoint on one connection.
+//! A single exchange with an endpoint over one connection.
 
 use std::{cell::Cell, net::SocketAddr, time::Duration};
 
@@ -20,9 +20,9 @@
     pool::{Connection, Pool},
 };
 
-/// The longest answer that is read whole before it is passed on, in bytes.
-pub const MAX_WHOLE_BYTES: u64 = 64 * 1024;
-/// The headers that belong to one connection, not to the request or answer.
+/// The size up to which bodies are read completely before they are forwarded, in bytes.
+pub const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
+/// The hop-by-hop headers, which apply to one connection and are not forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -34,97 +34,101 @@
     UPGRADE,
 ];
 
-/// What came of an exchange.
-pub enum Exchanged {
-    /// A whole answer. Its connection may be used again.
-    Whole(response::Parts, Bytes, Connection),
-    /// The head of an answer whose body is still coming in.
-    Head(response::Parts, Incoming, Connection),
-    /// The endpoint says that it refused before running.
+/// The result of an exchange.
+pub enum ExchangeResult {
+    /// The complete response. Its connection may be reused.
+    Complete(response::Parts, Bytes, Connection),
+    /// The head of a response whose body is still being received.
+    Streaming(response::Parts, Incoming, Connection),
+    /// The endpoint refused the request before running it.
     Refused,
-    /// No byte reached the endpoint.
+    /// No byte of the request reached the endpoint.
     NotSent,
-    /// The request may have run; no answer of its own came.
+    /// The request may have run, but no valid response arrived.
     Lost(String),
 }
 
-/// A request on its way to one endpoint.
-pub struct Outgoing<'a> {
-    /// The endpoint.
+/// A request to an endpoint.
+pub struct OutgoingRequest<'a> {
+    /// The endpoint's address.
     pub address: SocketAddr,
-    /// The head as the caller sent it.
+    /// The head of the caller's request.
     pub head: &'a Parts,
-    /// The request's id.
+    /// The request id.
     pub id: &'a str,
-    /// How much time is left.
-    pub left: Duration,
-    /// The body.
+    /// The time until the request's deadline.
+    pub time_left: Duration,
+    /// The request body.
     pub body: RequestBody,
-    /// How many connections to an endpoint may be kept.
-    pub share: u32,
+    /// The maximum number of idle connections to keep to the endpoint.
+    pub max_idle: u32,
 }
 
-/// Sends a request and reads the answer, whole if it is short.
+/// Sends a request and reads the response, completely if it is short.
 ///
-/// `sent` turns true at the moment a byte may leave.
-pub async fn exchange(pool: &Pool, outgoing: Outgoing<'_>, sent: &Cell<bool>) -> Exchanged {
-    let Outgoing { address, id, share, .. } = outgoing;
-    let Some(mut request) = build(outgoing) else { return Exchanged::NotSent };
+/// Sets `sent` when the first byte of the request may leave the process.
+pub async fn exchange(
+    pool: &Pool,
+    outgoing: OutgoingRequest<'_>,
+    sent: &Cell<bool>,
+) -> ExchangeResult {
+    let OutgoingRequest { address, id, max_idle, .. } = outgoing;
+    let Some(mut request) = build_request(outgoing) else { return ExchangeResult::NotSent };
     let (response, connection) = loop {
-        let Ok(mut connection) = pool.get(address).await else { return Exchanged::NotSent };
+        let Ok(mut connection) = pool.get(address).await else { return ExchangeResult::NotSent };
         sent.set(true);
         match connection.sender.try_send_request(request).await {
             Ok(response) => break (response, connection),
             Err(mut error) => match error.take_message() {
-                // A connection that waited may have been closed by the endpoint; nothing
-                // of the request was written to it.
-                Some(unsent) if connection.used => {
+                // The endpoint may have closed an idle connection; nothing of the request was
+                // written to it.
+                Some(unsent) if connection.reused => {
                     sent.set(false);
                     request = unsent;
                 }
-                Some(_) => return Exchanged::NotSent,
-                None => return Exchanged::Lost(error.into_error().to_string()),
+                Some(_) => return ExchangeResult::NotSent,
+                None => return ExchangeResult::Lost(error.into_error().to_string()),
             },
         }
     };
-    read(pool, response, connection, id, share).await
+    read_response(pool, response, connection, id, max_idle).await
 }
 
-async fn read(
+async fn read_response(
     pool: &Pool,
     response: Response<Incoming>,
     connection: Connection,
     id: &str,
-    share: u32,
-) -> Exchanged {
+    max_idle: u32,
+) -> ExchangeResult {
     let (mut parts, incoming) = response.into_parts();
-    let echoed = parts.headers.get(headers::REQUEST_ID).map(HeaderValue::as_bytes);
-    if echoed != Some(id.as_bytes()) {
-        return Exchanged::Lost("the answer does not carry the request's id".to_owned());
+    let echoed_id = parts.headers.get(headers::REQUEST_ID).map(HeaderValue::as_bytes);
+    if echoed_id != Some(id.as_bytes()) {
+        return ExchangeResult::Lost("the answer does not carry the request's id".to_owned());
     }
     let refused = parts.status == StatusCode::SERVICE_UNAVAILABLE
         && parts.headers.get(headers::NOT_RUN).is_some_and(|value| value == "true");
-    strip(&mut parts.headers);
-    let announced = incoming.size_hint().exact();
-    if announced.is_none_or(|length| length > MAX_WHOLE_BYTES) && !refused {
-        return Exchanged::Head(parts, incoming, connection);
+    remove_hop_by_hop(&mut parts.headers);
+    let body_length = incoming.size_hint().exact();
+    if body_length.is_none_or(|length| length > MAX_BUFFERED_BYTES) && !refused {
+        return ExchangeResult::Streaming(parts, incoming, connection);
     }
-    match Limited::new(incoming, MAX_WHOLE_BYTES as usize).collect().await {
+    match Limited::new(incoming, MAX_BUFFERED_BYTES as usize).collect().await {
         Ok(_) if refused => {
-            pool.put_back(connection, share);
-            Exchanged::Refused
+            pool.return_connection(connection, max_idle);
+            ExchangeResult::Refused
         }
-        Ok(body) => Exchanged::Whole(parts, body.to_bytes(), connection),
-        Err(_) if refused => Exchanged::Refused,
-        Err(error) => Exchanged::Lost(error.to_string()),
+        Ok(body) => ExchangeResult::Complete(parts, body.to_bytes(), connection),
+        Err(_) if refused => ExchangeResult::Refused,
+        Err(error) => ExchangeResult::Lost(error.to_string()),
     }
 }
 
-fn build(outgoing: Outgoing<'_>) -> Option<Request<RequestBody>> {
-    let Outgoing { address, head, id, left, body, .. } = outgoing;
+fn build_request(outgoing: OutgoingRequest<'_>) -> Option<Request<RequestBody>> {
+    let OutgoingRequest { address, head, id, time_left, body, .. } = outgoing;
     let length = match &body {
-        RequestBody::Whole(body) => body.size_hint().exact(),
-        RequestBody::Stream(body) => body.size_hint().exact(),
+        RequestBody::Buffered(body) => body.size_hint().exact(),
+        RequestBody::Streamed(body) => body.size_hint().exact(),
     };
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let mut request = Request::new(body);
@@ -132,28 +136,28 @@
     *request.uri_mut() = path.parse().ok()?;
     let headers = request.headers_mut();
     *headers = head.headers.clone();
-    strip(headers);
+    remove_hop_by_hop(headers);
     headers.remove(CONTENT_LENGTH);
     if let Some(length) = length {
         headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
     }
     headers.insert(HOST, HeaderValue::from_str(&address.to_string()).ok()?);
     headers.insert(headers::REQUEST_ID, HeaderValue::from_str(id).ok()?);
-    let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-    headers.insert(headers::TIMEOUT_MS, HeaderValue::from(left_ms));
+    let time_left_ms = u64::try_from(time_left.as_millis()).unwrap_or(u64::MAX);
+    headers.insert(headers::TIMEOUT_MS, HeaderValue::from(time_left_ms));
     Some(request)
 }
 
-/// Removes the headers that belong to one connection.
-fn strip(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+/// Removes the hop-by-hop headers, including those listed in `connection`.
+fn remove_hop_by_hop(headers: &mut HeaderMap) {
+    let connection_specific: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP_BY_HOP) {
+    for name in connection_specific.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
 }
--- a/crates/kitetraild/src/callers/in_flight.rs
+++ b/crates/kitetraild/src/callers/in_flight.rs
@@ -1,95 +1,98 @@
-//! A request between its arrival and its final answer.
+//! The lifecycle of a request from its arrival to its final answer.
 
 use std::rc::Rc;
 
 use kitetrail_core::routing::{EndpointId, Exchange, RequestNumber, Verdict};
 use tokio::sync::oneshot;
 
-use super::{entry::Entry, pool::Connection};
+use super::{entry::CallerServer, pool::Connection};
 
-/// A request between its arrival and its final answer.
+/// A request that has no final answer yet.
 ///
-/// Dropped early, because its caller has gone, it takes itself out of the router.
-pub struct InFlight {
-    entry: Rc<Entry>,
+/// If it is dropped early, because its caller disconnected, it removes itself from the router.
+pub struct InFlightRequest {
+    server: Rc<CallerServer>,
     number: RequestNumber,
     endpoint: Option<EndpointId>,
-    waiter: Option<oneshot::Receiver<Verdict>>,
-    over: bool,
+    verdict_receiver: Option<oneshot::Receiver<Verdict>>,
+    finished: bool,
 }
 
-impl InFlight {
-    /// A request that the router has just been offered.
-    pub fn new(entry: Rc<Entry>, number: RequestNumber) -> Self {
-        entry.begin();
-        Self { entry, number, endpoint: None, waiter: None, over: false }
+impl InFlightRequest {
+    /// Creates the state of a request that was just offered to the router.
+    pub fn new(server: Rc<CallerServer>, number: RequestNumber) -> Self {
+        server.request_started();
+        Self { server, number, endpoint: None, verdict_receiver: None, finished: false }
     }
 
-    /// Notes that the request is on its way to an endpoint.
-    pub fn sending_to(&mut self, endpoint: EndpointId) {
+    /// Sets the endpoint to which the request is sent.
+    pub fn set_endpoint(&mut self, endpoint: EndpointId) {
         self.endpoint = Some(endpoint);
     }
 
-    /// Waits until the router has an endpoint or gives the request up.
+    /// Waits until the router assigns an endpoint or ends the request.
     pub async fn wait(&mut self) -> Option<Verdict> {
-        let waiter = self.waiter.insert(self.entry.wait_for(self.number));
-        let verdict = waiter.await.ok();
-        self.waiter = None;
+        let verdict_receiver =
+            self.verdict_receiver.insert(self.server.register_waiter(self.number));
+        let verdict = verdict_receiver.await.ok();
+        self.verdict_receiver = None;
         verdict
     }
 
-    /// Tells the router how an exchange went.
+    /// Reports the result of an exchange to the router and returns its verdict.
     pub fn finish_exchange(&mut self, exchange: Exchange) -> Verdict {
         let Some(endpoint) = self.endpoint.take() else { return Verdict::Deliver };
-        let now = self.entry.now();
-        let verdict = self.entry.router().borrow_mut().finish(self.number, endpoint, exchange, now);
-        self.entry.dispatch_ready();
+        let now = self.server.now();
+        let verdict =
+            self.server.router().borrow_mut().finish(self.number, endpoint, exchange, now);
+        self.server.dispatch_ready();
         verdict
     }
 
-    /// Tells the router that the time ran out while the request was on its way.
+    /// Reports to the router that the deadline passed while the request was at an endpoint.
     pub fn time_out(mut self) -> Option<kitetrail_core::routing::GivenUp> {
-        self.over = true;
+        self.finished = true;
         let endpoint = self.endpoint.take()?;
-        let now = self.entry.now();
-        Some(self.entry.router().borrow_mut().time_out(self.number, endpoint, now))
+        let now = self.server.now();
+        Some(self.server.router().borrow_mut().time_out(self.number, endpoint, now))
     }
 
-    /// Ends with a whole answer. The connection may be used again.
+    /// Ends the request with a complete response and returns the connection to the pool.
     pub fn complete(mut self, connection: Connection, failed: bool) {
-        let share = self.entry.router().borrow().connection_share();
-        self.entry.pool().put_back(connection, share);
+        let max_idle = self.server.router().borrow().connection_share();
+        self.server.pool().return_connection(connection, max_idle);
         let exchange = if failed { Exchange::Failed } else { Exchange::Answered };
         self.finish_exchange(exchange);
-        self.over = true;
+        self.finished = true;
     }
 
-    /// Ends with an answer that broke off after its head was passed on.
-    pub fn broke_off(mut self) {
+    /// Ends the request after its response was interrupted behind the forwarded head.
+    pub fn fail(mut self) {
         self.finish_exchange(Exchange::Lost);
     }
 
-    /// Ends with the final answer of a request that was given up.
-    pub fn give_up(mut self) {
-        self.over = true;
+    /// Ends a request for which the router needs no further report.
+    pub fn mark_finished(mut self) {
+        self.finished = true;
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        self.entry.end();
-        if self.over {
-            self.entry.dispatch_ready();
+        self.server.request_ended();
+        if self.finished {
+            self.server.dispatch_ready();
             return;
         }
-        self.entry.stop_waiting(self.number);
-        let granted = self.waiter.take().and_then(|mut waiter| waiter.try_recv().ok());
-        if let Some(Verdict::Send(endpoint)) = granted {
+        self.server.remove_waiter(self.number);
+        let late_verdict =
+            self.verdict_receiver.take().and_then(|mut receiver| receiver.try_recv().ok());
+        if let Some(Verdict::Send(endpoint)) = late_verdict {
             self.endpoint = Some(endpoint);
         }
-        let now = self.entry.now();
+        let now = self.server.now();
         let endpoint = self.endpoint.take();
-        self.entry.router().borrow_mut().abandon(self.number, endpoint, now);
-        self.entry.dispatch_ready();
+        self.server.router().borrow_mut().abandon(self.number, endpoint, now);
+        self.server.dispatch_ready();
     }
 }
--- a/crates/kitetraild/src/callers/mod.rs
+++ b/crates/kitetraild/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' side: requests in, answers out, and the exchanges with endpoints between.
+//! Serves callers: accepts their requests, exchanges them with endpoints and returns the answers.
 
 mod answer;
 mod balancer;
@@ -11,11 +11,11 @@
 mod pool;
 
 pub use balancer::ChosenBalancer;
-pub use entry::{Entry, EntryParts};
+pub use entry::{CallerServer, CallerServerParts};
 
 use std::{cell::RefCell, rc::Rc};
 
 use kitetrail_core::routing::Router;
 
-/// The router as the callers' side and the control loop share it on their one thread.
+/// The router, which the caller server and the control loop share on one thread.
 pub type SharedRouter = Rc<RefCell<Router<ChosenBalancer>>>;
--- a/crates/kitetraild/src/callers/pool.rs
+++ b/crates/kitetraild/src/callers/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints. Each carries one exchange at a time.
+//! A pool of connections to endpoints. Each connection carries one exchange at a time.
 
 use std::{
     cell::RefCell,
@@ -15,33 +15,33 @@
 
 use super::body::RequestBody;
 
-/// How long a connection may take to come about.
+/// The timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an unused connection is kept. Shorter than endpoints usually keep theirs.
-const IDLE_LIMIT: Duration = Duration::from_secs(5);
+/// How long an idle connection is kept. Shorter than the idle timeout of most endpoints, so that they don't close it first.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why there is no connection.
+/// The reason why a connection can't be established.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// The endpoint refused or the network did.
+    /// The endpoint or the network refused the connection.
     #[error("no connection: {0}")]
     Io(#[from] io::Error),
     /// The endpoint does not speak HTTP.
     #[error("no HTTP connection: {0}")]
     Http(#[from] hyper::Error),
-    /// It took too long.
+    /// The connection was not established in time.
     #[error("no connection within {CONNECT_TIMEOUT:?}")]
     TimedOut,
 }
 
-/// A connection to an endpoint. It closes when dropped; only [`Pool::put_back`] after a
-/// whole exchange keeps it.
+/// A connection to an endpoint. It closes when dropped, unless it is handed to
+/// [`Pool::return_connection`] after a complete exchange.
 #[derive(Debug)]
 pub struct Connection {
-    /// Where requests go in.
+    /// The sender of requests.
     pub sender: SendRequest<RequestBody>,
-    /// Whether it has carried an exchange before.
-    pub used: bool,
+    /// Whether the connection has carried an exchange before.
+    pub reused: bool,
     address: SocketAddr,
     driver: AbortOnDrop,
 }
@@ -56,23 +56,23 @@
 }
 
 impl Connection {
-    /// Cuts the connection off when used.
+    /// Returns a handle that aborts the connection.
     pub fn abort_handle(&self) -> AbortHandle {
         self.driver.0.clone()
     }
 }
 
-/// A connection that waits, and since when.
-type Idle = (Instant, Connection);
+/// The time since which a connection is idle, and the connection.
+type IdleConnection = (Instant, Connection);
 
-/// The connections that wait for a next exchange.
+/// The idle connections to endpoints.
 #[derive(Debug, Default)]
 pub struct Pool {
-    idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl Pool {
-    /// A connection that waits, or a new one.
+    /// Returns an idle connection, or a new one if none is idle.
     pub async fn get(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
         match self.take_idle(address) {
             Some(connection) => Ok(connection),
@@ -80,34 +80,34 @@
         }
     }
 
-    /// Keeps a connection whose exchange is over, within the share of this box.
-    pub fn put_back(&self, mut connection: Connection, share: u32) {
+    /// Keeps a connection whose exchange is complete, up to `max_idle` connections to its endpoint.
+    pub fn return_connection(&self, mut connection: Connection, max_idle: u32) {
         if connection.sender.is_closed() {
             return;
         }
-        connection.used = true;
+        connection.reused = true;
         let mut idle = self.idle.borrow_mut();
-        let waiting = idle.entry(connection.address).or_default();
-        if waiting.len() < share as usize {
-            waiting.push((Instant::now(), connection));
+        let idle_connections = idle.entry(connection.address).or_default();
+        if idle_connections.len() < max_idle as usize {
+            idle_connections.push((Instant::now(), connection));
         }
     }
 
-    /// Closes connections that waited for too long.
-    pub fn sweep(&self) {
-        self.idle.borrow_mut().retain(|_, waiting| {
-            waiting.retain(|(since, connection)| {
-                since.elapsed() < IDLE_LIMIT && !connection.sender.is_closed()
+    /// Closes connections that were idle for too long.
+    pub fn close_expired(&self) {
+        self.idle.borrow_mut().retain(|_, idle_connections| {
+            idle_connections.retain(|(idle_since, connection)| {
+                idle_since.elapsed() < IDLE_TIMEOUT && !connection.sender.is_closed()
             });
-            !waiting.is_empty()
+            !idle_connections.is_empty()
         });
     }
 
     fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let waiting = idle.get_mut(&address)?;
-        while let Some((since, connection)) = waiting.pop() {
-            if since.elapsed() < IDLE_LIMIT && connection.sender.is_ready() {
+        let idle_connections = idle.get_mut(&address)?;
+        while let Some((idle_since, connection)) = idle_connections.pop() {
+            if idle_since.elapsed() < IDLE_TIMEOUT && connection.sender.is_ready() {
                 return Some(connection);
             }
         }
@@ -122,5 +122,5 @@
     let (sender, driver) = http1::handshake(TokioIo::new(stream)).await?;
     let driver = tokio::task::spawn_local(driver);
     let driver = AbortOnDrop(driver.abort_handle());
-    Ok(Connection { sender, used: false, address, driver })
+    Ok(Connection { sender, reused: false, address, driver })
 }
--- a/crates/kitetraild/src/daemon.rs
+++ b/crates/kitetraild/src/daemon.rs
@@ -17,7 +17,7 @@
 };
 
 use crate::{
-    callers::{ChosenBalancer, Entry, EntryParts},
+    callers::{CallerServer, CallerServerParts, ChosenBalancer},
     clock::{Clock, incarnation},
     control::{Control, ControlParts, Message},
     metrics::Metrics,
@@ -68,7 +68,7 @@
 
     start_peer_server(&settings, &sender);
     operators::start(Rc::clone(&settings), sender.clone(), metrics.clone());
-    let entry = Entry::new(EntryParts {
+    let caller_server = CallerServer::new(CallerServerParts {
         settings: Rc::clone(&settings),
         clock,
         incarnation,
@@ -76,7 +76,7 @@
         metrics: metrics.clone(),
         ready: Rc::clone(&ready),
     });
-    let accept_loop = tokio::task::spawn_local(Rc::clone(&entry).accept(listener));
+    let accept_loop = tokio::task::spawn_local(Rc::clone(&caller_server).accept(listener));
     let control_parts = ControlParts {
         settings: Rc::clone(&settings),
         clock,
@@ -95,16 +95,16 @@
     tokio::time::sleep(UNREADY_DELAY).await;
     accept_loop.abort();
     let drained = async {
-        entry.drain().await;
+        caller_server.drain().await;
         let _ = control_loop.await;
     };
     tokio::select! {
         () = drained => log::info!("daemon: stopped after all requests ended"),
         () = tokio::time::sleep(settings.requests.drain_timeout_ms.get()) => {
-            log::warn!("daemon: stopped with {} requests in progress", entry.in_progress());
+            log::warn!("daemon: stopped with {} requests in progress", caller_server.requests_in_progress());
         }
         () = stop_signals.recv() => {
-            log::warn!("daemon: stopped immediately, {} requests aborted", entry.in_progress());
+            log::warn!("daemon: stopped immediately, {} requests aborted", caller_server.requests_in_progress());
         }
     }
     Ok(())
