--- a/crates/kitetraild/src/logging/bounded.rs
+++ b/crates/kitetraild/src/logging/bounded.rs
@@ -1,4 +1,4 @@
-//! A log that leaves lines out rather than hold anybody up.
+//! A log that drops lines instead of blocking the process.
 
 use std::{
     fmt::Debug,
@@ -17,80 +17,82 @@
 
 use super::LineBudget;
 
-/// How many lines may wait to be written. With lines of some 350 bytes, 1.5 MB at most.
-const WAITING_LINES: u64 = 4_096;
+/// The maximum number of queued lines. With lines of about 350 bytes, the queue takes at most 1.5 MB.
+const MAX_QUEUED_LINES: u64 = 4_096;
 
-/// How many lines a log left out.
+/// A counter of the lines that a log dropped.
 #[derive(Debug, Clone, Default)]
 pub struct LeftOut(Arc<AtomicU64>);
 
 impl LeftOut {
-    /// How many since the process started.
+    /// Returns the number of lines that were dropped since the process started.
     pub fn lines(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// A log that writes on a thread of its own, and what it leaves out.
-pub(super) fn bounded(writer: impl Append) -> (Bounded, LeftOut) {
+/// Creates an appender that writes on a separate thread, and the counter of its dropped lines.
+pub(super) fn bounded(writer: impl Append) -> (BoundedAppender, LeftOut) {
     let written = Arc::new(AtomicU64::new(0));
-    let counted = Counted { writer, written: Arc::clone(&written) };
-    let waiting = AsyncBuilder::new("log")
-        .buffered_lines_limit(Some(WAITING_LINES as usize + 1))
+    let counting_writer = CountingWriter { writer, written: Arc::clone(&written) };
+    let queue = AsyncBuilder::new("log")
+        .buffered_lines_limit(Some(MAX_QUEUED_LINES as usize + 1))
         .overflow_drop_incoming()
-        .append(counted)
+        .append(counting_writer)
         .build();
     let left_out = LeftOut::default();
     let budget = Mutex::new(LineBudget::new(Instant::now()));
-    let sent = AtomicU64::new(0);
-    let bounded = Bounded { waiting, budget, sent, written, left_out: left_out.clone() };
-    (bounded, left_out)
+    let enqueued = AtomicU64::new(0);
+    let appender = BoundedAppender { queue, budget, enqueued, written, left_out: left_out.clone() };
+    (appender, left_out)
 }
 
-/// Lets lines wait for their writer, up to a number and a rate.
+/// An appender that queues lines for the writing thread, up to a number and a rate.
 #[derive(Debug)]
-pub(super) struct Bounded {
-    waiting: Async,
+pub(super) struct BoundedAppender {
+    queue: Async,
     budget: Mutex<LineBudget>,
-    sent: AtomicU64,
+    enqueued: AtomicU64,
     written: Arc<AtomicU64>,
     left_out: LeftOut,
 }
 
-impl Append for Bounded {
+impl Append for BoundedAppender {
     fn append(&self, record: &Record, diagnostics: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        let severe = record.level() >= Level::Warn;
-        let waiting =
-            self.sent.load(Ordering::Relaxed).saturating_sub(self.written.load(Ordering::Relaxed));
+        let is_severe = record.level() >= Level::Warn;
+        let queued_lines = self
+            .enqueued
+            .load(Ordering::Relaxed)
+            .saturating_sub(self.written.load(Ordering::Relaxed));
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
-        if waiting >= WAITING_LINES || !budget.allows(Instant::now(), severe) {
+        if queued_lines >= MAX_QUEUED_LINES || !budget.allows(Instant::now(), is_severe) {
             self.left_out.0.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
         drop(budget);
-        self.sent.fetch_add(1, Ordering::Relaxed);
-        let appended = self.waiting.append(record, diagnostics);
+        self.enqueued.fetch_add(1, Ordering::Relaxed);
+        let appended = self.queue.append(record, diagnostics);
         if appended.is_err() {
-            // It waits for nobody.
-            self.sent.fetch_sub(1, Ordering::Relaxed);
+            // The queue rejected the line, so it does not count as queued.
+            self.enqueued.fetch_sub(1, Ordering::Relaxed);
             self.left_out.0.fetch_add(1, Ordering::Relaxed);
         }
         appended
     }
 
     fn flush(&self) -> Result<(), Error> {
-        self.waiting.flush()
+        self.queue.flush()
     }
 }
 
-/// Counts the lines that are written.
+/// An appender that counts the lines that it writes.
 #[derive(Debug)]
-struct Counted<A> {
+struct CountingWriter<A> {
     writer: A,
     written: Arc<AtomicU64>,
 }
 
-impl<A: Append> Append for Counted<A> {
+impl<A: Append> Append for CountingWriter<A> {
     fn append(&self, record: &Record, diagnostics: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         let appended = self.writer.append(record, diagnostics);
         self.written.fetch_add(1, Ordering::Relaxed);
--- a/crates/kitetraild/src/logging/budget.rs
+++ b/crates/kitetraild/src/logging/budget.rs
@@ -1,39 +1,41 @@
-//! How many lines a log may write.
+//! The rate limit of a log.
 
 use std::time::{Duration, Instant};
 
-/// Lines a second over longer times. An owner of 490 workers under load writes some 1,300; at some
-/// 350 bytes a line the log takes 0.7 MB a second at most.
-const LINES_PER_S: f64 = 2_000.0;
-/// Lines at once: what two seconds allow.
+/// The sustained rate, in lines per second. An owner of 490 workers under load writes about 1,300 lines
+/// per second. At about 350 bytes a line, the log takes at most 0.7 MB per second.
+const LINES_PER_SECOND: f64 = 2_000.0;
+/// The maximum burst, in lines: the lines of two seconds.
 const BURST_LINES: f64 = 4_000.0;
-/// What is kept of that for warnings and errors, so that a flood of decisions does not hide them.
-const KEPT_FOR_SEVERE: f64 = 500.0;
+/// The part of the burst that is reserved for warnings and errors, so that a flood of decisions does not
+/// suppress them.
+const RESERVED_FOR_SEVERE: f64 = 500.0;
 
-/// Lets lines through at a bounded rate.
+/// A token bucket that limits the rate of lines.
 #[derive(Debug, Clone)]
 pub struct LineBudget {
-    left: f64,
+    available: f64,
     refilled_at: Instant,
 }
 
 impl LineBudget {
-    /// A budget that was not used yet.
+    /// Creates a full budget.
     pub fn new(now: Instant) -> Self {
-        Self { left: BURST_LINES, refilled_at: now }
+        Self { available: BURST_LINES, refilled_at: now }
     }
 
-    /// Whether a line may be written now.
-    pub fn allows(&mut self, now: Instant, severe: bool) -> bool {
-        let passed = now.saturating_duration_since(self.refilled_at);
-        if passed > Duration::ZERO {
-            self.left = (self.left + passed.as_secs_f64() * LINES_PER_S).min(BURST_LINES);
+    /// Returns whether a line may be written now. If so, the line is charged to the budget.
+    pub fn allows(&mut self, now: Instant, is_severe: bool) -> bool {
+        let elapsed = now.saturating_duration_since(self.refilled_at);
+        if elapsed > Duration::ZERO {
+            self.available =
+                (self.available + elapsed.as_secs_f64() * LINES_PER_SECOND).min(BURST_LINES);
             self.refilled_at = now;
         }
-        let kept = if severe { 0.0 } else { KEPT_FOR_SEVERE };
-        let allowed = self.left >= kept + 1.0;
+        let reserved = if is_severe { 0.0 } else { RESERVED_FOR_SEVERE };
+        let allowed = self.available >= reserved + 1.0;
         if allowed {
-            self.left -= 1.0;
+            self.available -= 1.0;
         }
         allowed
     }
--- a/crates/kitetraild/src/logging/mod.rs
+++ b/crates/kitetraild/src/logging/mod.rs
@@ -1,4 +1,4 @@
-//! The log: one line for each decision.
+//! The log, with one line for each decision.
 
 mod bounded;
 mod budget;
@@ -15,53 +15,56 @@
 pub use bounded::LeftOut;
 pub use budget::LineBudget;
 
-/// How long a process that ends waits for its last lines. A reader that is stuck holds no stop up.
-const FLUSH_LIMIT: Duration = Duration::from_millis(300);
+/// How long a process that ends waits until its last lines are written. A blocked reader of the log
+/// must not delay the stop further.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// From which severity on lines are written.
+/// The lowest severity of the lines that are written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Level {
-    /// Faults alone.
+    /// Only errors.
     Error,
-    /// Faults and oddities.
+    /// Errors and warnings.
     Warn,
-    /// Decisions too.
+    /// Errors, warnings and decisions.
     #[default]
     Info,
-    /// Messages between processes too.
+    /// Everything, including communication between processes.
     Debug,
 }
 
-/// How lines are written.
+/// The format of the lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Format {
-    /// For people.
+    /// Plain text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Starts the log.
+/// Starts a log on standard error.
 pub fn start(level: Level, format: Format) {
-    let severity = severity(level);
+    let minimum_severity = minimum_severity(level);
     let stderr = match format {
         Format::Text => Stderr::default().with_layout(TextLayout::default().no_color()),
         Format::Json => Stderr::default().with_layout(JsonLayout::default()),
     };
     logforth::starter_log::builder()
-        .dispatch(|dispatch| dispatch.filter(LevelFilter::MoreSevereEqual(severity)).append(stderr))
+        .dispatch(|dispatch| {
+            dispatch.filter(LevelFilter::MoreSevereEqual(minimum_severity)).append(stderr)
+        })
         .apply();
 }
 
-/// Starts a log of JSON lines on standard output that never holds the process up.
+/// Starts a log of JSON lines on standard output that never blocks the process.
 ///
-/// A thread of its own writes. Lines past a rate, and those that find too many waiting, are left out
-/// and counted: see [`LeftOut`].
+/// A separate thread writes the lines. Lines that exceed the rate limit or find the queue full are
+/// dropped and counted: see [`LeftOut`].
 pub fn start_bounded(level: Level) -> LeftOut {
-    let filter = LevelFilter::MoreSevereEqual(severity(level));
+    let filter = LevelFilter::MoreSevereEqual(minimum_severity(level));
     let stdout = Stdout::default().with_layout(JsonLayout::default());
     let (bounded, left_out) = bounded::bounded(stdout);
     logforth::starter_log::builder()
@@ -70,17 +73,17 @@
     left_out
 }
 
-/// Writes the lines that wait, if that is soon done.
+/// Flushes the queued lines, for at most [`FLUSH_TIMEOUT`].
 pub fn flush_soon() {
     let (done, flushed) = mpsc::channel();
     thread::spawn(move || {
         log::logger().flush();
         let _ = done.send(());
     });
-    let _ = flushed.recv_timeout(FLUSH_LIMIT);
+    let _ = flushed.recv_timeout(FLUSH_TIMEOUT);
 }
 
-fn severity(level: Level) -> logforth::record::Level {
+fn minimum_severity(level: Level) -> logforth::record::Level {
     match level {
         Level::Error => logforth::record::Level::Error,
         Level::Warn => logforth::record::Level::Warn,
--- a/crates/kitetraild/tests/settings.rs
+++ b/crates/kitetraild/tests/settings.rs
@@ -1,10 +1,10 @@
-//! Each mistake in the settings is told with its line and how to mend it.
+//! Tests that settings are parsed, and that mistakes in them are reported with their line or setting.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 use expect_test::expect_file;
 use kitetraild::settings::Settings;
 
-const GOOD: &str = r#"box_id = "entry-1"
+const VALID_SETTINGS: &str = r#"box_id = "entry-1"
 zone = "zone-a"
 
 [listen]
@@ -18,38 +18,38 @@
 "#;
 
 #[test]
-fn good_settings_are_taken() {
-    let settings = Settings::parse(GOOD).unwrap();
+fn valid_settings_are_accepted() {
+    let settings = Settings::parse(VALID_SETTINGS).unwrap();
     assert_eq!(settings.box_id.as_str(), "entry-1");
 }
 
 #[test]
-fn mistakes() {
-    let swap = |from: &str, to: &str| GOOD.replace(from, to);
-    let add = |more: &str| format!("{GOOD}{more}");
+fn each_mistake_is_reported_with_its_line_or_setting() {
+    let replace = |from: &str, to: &str| VALID_SETTINGS.replace(from, to);
+    let append = |suffix: &str| format!("{VALID_SETTINGS}{suffix}");
     let cases = [
-        ("an unknown key", add("\n[requests]\nmax_queue_wait = 200\n")),
-        ("a malformed address", swap("127.0.0.1:7001", "localhost:7001")),
-        ("a bad name", swap("entry-1", "Entry 1")),
-        ("a missing section", GOOD.split("[platform]").next().unwrap().to_owned()),
-        ("a time of zero", add("table_timeout_ms = 0\n")),
-        ("an absurd time", add("table_timeout_ms = 99999999999\n")),
-        ("a negative number", add("\n[requests]\nmax_connections = -1\n")),
-        ("leases too short", add("\n[shards]\ntask_lease_ms = 2000\n")),
-        ("no racks", add("\n[shards]\nracks_per_shard = 0\n")),
-        ("an unknown balancer", add("\n[requests]\nbalancer = \"random\"\n")),
+        ("an unknown key", append("\n[requests]\nmax_queue_wait = 200\n")),
+        ("a malformed address", replace("127.0.0.1:7001", "localhost:7001")),
+        ("a bad name", replace("entry-1", "Entry 1")),
+        ("a missing section", VALID_SETTINGS.split("[platform]").next().unwrap().to_owned()),
+        ("a time of zero", append("table_timeout_ms = 0\n")),
+        ("an absurd time", append("table_timeout_ms = 99999999999\n")),
+        ("a negative number", append("\n[requests]\nmax_connections = -1\n")),
+        ("leases too short", append("\n[shards]\ntask_lease_ms = 2000\n")),
+        ("no racks", append("\n[shards]\nracks_per_shard = 0\n")),
+        ("an unknown balancer", append("\n[requests]\nbalancer = \"random\"\n")),
         (
             "a token in place of its digest",
-            add(
+            append(
                 "\n[[operators.tokens]]\nname = \"ann\"\nrole = \"operator\"\nsha256 = \"secret\"\n",
             ),
         ),
     ];
-    let told: String = cases
+    let messages: String = cases
         .iter()
-        .map(|(what, text)| {
-            format!("{what}\n{}\n\n", Settings::parse(text).unwrap_err().trim_end())
+        .map(|(title, text)| {
+            format!("{title}\n{}\n\n", Settings::parse(text).unwrap_err().trim_end())
         })
         .collect();
-    expect_file!["golden/settings_mistakes.txt"].assert_eq(&told);
+    expect_file!["golden/settings_mistakes.txt"].assert_eq(&messages);
 }
