--- a/crates/kitetraild/src/callers/answer.rs
+++ b/crates/kitetraild/src/callers/answer.rs
@@ -13,7 +13,8 @@
 
 use super::body::ResponseBody;
 
-/// The header with the delay before a retry, in milliseconds, since `retry-after` holds whole seconds.
+/// The header with the delay before a retry, in milliseconds, since `retry-after` holds whole
+/// seconds.
 const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("x-retry-after-ms");
 /// The header that marks the stored answer of a call that ran before.
 const REPLAYED: HeaderName = HeaderName::from_static("x-replayed");
@@ -52,7 +53,8 @@
     response
 }
 
-/// Returns the response to a call that must run at most once while the table can't confirm whether it ran.
+/// Returns the response to a call that must run at most once while the table can't confirm whether
+/// it ran.
 pub fn table_unavailable() -> Response<ResponseBody> {
     let body = "not-run: the table that guards this call's key does not answer\n";
     let mut response = local_response(StatusCode::SERVICE_UNAVAILABLE, Outcome::NotRun, body);
--- a/crates/kitetraild/src/callers/body.rs
+++ b/crates/kitetraild/src/callers/body.rs
@@ -78,7 +78,8 @@
 /// A response body that is forwarded while it is received.
 ///
 /// The endpoint's connection is reused only after the last byte arrived. If the endpoint's response
-/// is interrupted, the caller's response is too, so a truncated response never looks like a success.
+/// is interrupted, the caller's response is too, so a truncated response never looks like a
+/// success.
 pub struct ResponseStream {
     incoming: Incoming,
     connection: Option<Connection>,
@@ -127,7 +128,7 @@
     }
 }
 
-/// Aborts a connection when no byte of its response was forwarded for [`STALL_TIMEOUT`].
+/// Aborts a connection when no byte of its response was forwarded for `STALL_TIMEOUT`.
 fn abort_when_stalled(last_progress: Rc<Cell<Instant>>, connection: AbortHandle) -> AbortHandle {
     let watchdog = tokio::task::spawn_local(async move {
         while last_progress.get().elapsed() < STALL_TIMEOUT {
--- a/crates/kitetraild/src/callers/claims.rs
+++ b/crates/kitetraild/src/callers/claims.rs
@@ -32,6 +32,7 @@
 /// The maximum number of claims with an unknown result that are tracked.
 const MAX_UNRESOLVED_CLAIMS: usize = 10_000;
 
+/// The channel for the answer to a claim.
 type ClaimReply = oneshot::Sender<(ClaimAnswer, Version)>;
 
 /// A change that is queued for the next transaction.
@@ -39,7 +40,7 @@
     key: CallKey,
     version: Version,
     change: CallChange,
-    answer: Option<ClaimReply>,
+    reply: Option<ClaimReply>,
 }
 
 /// The claims of this box and their pending changes.
@@ -73,8 +74,8 @@
 }
 
 impl Claim {
-    /// Marks the call as sent, so that the claim persists whatever the result of the exchange, even if
-    /// the caller disconnects.
+    /// Marks the call as sent, so that the claim persists whatever the result of the exchange, even
+    /// if the caller disconnects.
     pub fn mark_sent(&mut self) {
         self.may_have_run = true;
     }
@@ -121,9 +122,9 @@
 
     /// Claims a call. An error holds the answer for the caller.
     pub async fn claim(self: &Rc<Self>, key: CallKey) -> Result<Claim, ClaimAnswer> {
-        let (answer, granted) = oneshot::channel();
-        self.enqueue(key.clone(), Version(0), CallChange::Claim, Some(answer));
-        match granted.await {
+        let (reply, receiver) = oneshot::channel();
+        self.enqueue(key.clone(), Version(0), CallChange::Claim, Some(reply));
+        match receiver.await {
             Ok((ClaimAnswer::Granted, version)) => {
                 Ok(Claim { claims: Rc::clone(self), key, version, may_have_run: false })
             }
@@ -151,9 +152,9 @@
         key: CallKey,
         version: Version,
         change: CallChange,
-        answer: Option<ClaimReply>,
+        reply: Option<ClaimReply>,
     ) {
-        self.pending.borrow_mut().push(PendingChange { key, version, change, answer });
+        self.pending.borrow_mut().push(PendingChange { key, version, change, reply });
         self.wakeup.notify_one();
     }
 
@@ -224,8 +225,8 @@
                 self.retained.borrow_mut().push_back(retained);
                 continue;
             }
-            let Some(answer) = pending.answer else { continue };
-            if answer.send((ClaimAnswer::Granted, version)).is_err() {
+            let Some(reply) = pending.reply else { continue };
+            if reply.send((ClaimAnswer::Granted, version)).is_err() {
                 self.enqueue(pending.key, version, CallChange::Release, None);
             }
         }
@@ -236,23 +237,22 @@
         let mut retryable = Vec::new();
         for pending in batch {
             let row = self.table.read(&pending.key.row()).await;
-            let Some(answer) = pending.answer else {
+            let Some(reply) = pending.reply else {
                 let version_matches =
                     row.is_ok_and(|row| row.is_some_and(|row| row.version == pending.version));
                 if version_matches {
-                    retryable.push(PendingChange { answer: None, ..pending });
+                    retryable.push(PendingChange { reply: None, ..pending });
                 }
                 continue;
             };
             match row {
-                Ok(None) => retryable.push(PendingChange { answer: Some(answer), ..pending }),
+                Ok(None) => retryable.push(PendingChange { reply: Some(reply), ..pending }),
                 Ok(Some(row)) => {
                     let claim_answer = calls::judge_claim(Some(&row), op);
-                    let _ =
-                        answer.send((claim_answer.unwrap_or(ClaimAnswer::NoTable), row.version));
+                    let _ = reply.send((claim_answer.unwrap_or(ClaimAnswer::NoTable), row.version));
                 }
                 Err(_) => {
-                    let _ = answer.send((ClaimAnswer::NoTable, Version(0)));
+                    let _ = reply.send((ClaimAnswer::NoTable, Version(0)));
                 }
             }
         }
@@ -262,9 +262,9 @@
     /// Answers claims with an unknown result as unavailable, and records them for the cleanup.
     fn mark_unresolved(&self, batch: Vec<PendingChange>, op: &OpId) {
         for pending in batch {
-            match pending.answer {
-                Some(answer) => {
-                    let _ = answer.send((ClaimAnswer::NoTable, Version(0)));
+            match pending.reply {
+                Some(reply) => {
+                    let _ = reply.send((ClaimAnswer::NoTable, Version(0)));
                     let mut unresolved = self.unresolved.borrow_mut();
                     if unresolved.len() < MAX_UNRESOLVED_CLAIMS {
                         unresolved.insert(pending.key, op.clone());
@@ -286,8 +286,8 @@
         }
     }
 
-    /// Periodically releases claims that were committed after they were answered as unavailable, and
-    /// expired answers.
+    /// Periodically releases claims that were committed after they were answered as unavailable,
+    /// and expired answers.
     async fn run_cleanup(self: Rc<Self>) {
         loop {
             tokio::time::sleep(CLEANUP_INTERVAL).await;
--- a/crates/kitetraild/src/callers/entry/serving.rs
+++ b/crates/kitetraild/src/callers/entry/serving.rs
@@ -141,7 +141,8 @@
         }
     }
 
-    /// Sends a request to an endpoint, and forwards the response or reports the failure to the router.
+    /// Sends a request to an endpoint, and forwards the response or reports the failure to the
+    /// router.
     async fn send_to_endpoint(
         &self,
         id: EndpointId,
--- a/crates/kitetraild/src/callers/in_flight.rs
+++ b/crates/kitetraild/src/callers/in_flight.rs
@@ -66,12 +66,13 @@
         self.finished = true;
     }
 
-    /// Ends the request after its response was interrupted behind the forwarded head.
+    /// Ends the request after its response was interrupted, when the head had already been
+    /// forwarded.
     pub fn fail(mut self) {
         self.finish_exchange(Exchange::Lost);
     }
 
-    /// Ends a request for which the router needs no further report.
+    /// Marks the request as finished, after the router ended it.
     pub fn mark_finished(mut self) {
         self.finished = true;
     }
--- a/crates/kitetraild/src/callers/pool.rs
+++ b/crates/kitetraild/src/callers/pool.rs
@@ -17,7 +17,8 @@
 
 /// The timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an idle connection is kept. Shorter than the idle timeout of most endpoints, so that they don't close it first.
+/// How long an idle connection is kept. Shorter than the idle timeout of most endpoints, so that
+/// they don't close it first.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The reason why a connection can't be established.
--- a/crates/kitetraild/src/clock.rs
+++ b/crates/kitetraild/src/clock.rs
@@ -8,11 +8,13 @@
 use kitetrail_core::Time;
 use nix::time::{ClockId, clock_gettime};
 
-/// A clock that measures the time since the process started, including time in which the machine was suspended.
+/// A clock that measures the time since the process started, including time in which the machine
+/// was suspended.
 ///
-/// A machine may be suspended for seconds. The monotonic clock, on which `Instant` and all timers rely, does not count that
-/// time. This clock does, so a resumed process detects that time has passed: other boxes may have taken over, leases that it
-/// granted may have expired, and data that it read may be stale.
+/// A machine may be suspended for seconds. The monotonic clock, on which `Instant` and all timers
+/// rely, does not count that time. This clock does, so a resumed process detects that time has
+/// passed: other boxes may have taken over, leases that it granted may have expired, and data that
+/// it read may be stale.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     sources: ClockSources,
@@ -36,7 +38,8 @@
 }
 
 impl ClockSources {
-    /// Returns the system's clocks, with the monotonic clock in both places if the system has no boot-time clock.
+    /// Returns the system's clocks, with the monotonic clock in both places if the system has no
+    /// boot-time clock.
     fn system() -> Self {
         let monotonic = || read_clock(ClockId::CLOCK_MONOTONIC);
         match clock_gettime(ClockId::CLOCK_BOOTTIME) {
@@ -60,7 +63,8 @@
         Self { sources, start: sources.read() }
     }
 
-    /// Returns the current time. It starts at one second, so that times before the start can be represented.
+    /// Returns the current time. It starts at one second, so that times before the start can be
+    /// represented.
     pub fn now(&self) -> Time {
         let elapsed = (self.sources.boot_time)().saturating_sub(self.start.boot_time);
         Time::from_us(elapsed.as_micros() as u64 + 1_000_000)
@@ -74,7 +78,8 @@
     }
 }
 
-/// Reads a system clock. Returns zero on failure, which does not happen for a clock that was read before.
+/// Reads a system clock. Returns zero on failure, which does not happen for a clock that was read
+/// before.
 fn read_clock(clock: ClockId) -> Duration {
     clock_gettime(clock).map(Duration::from).unwrap_or_default()
 }
--- a/crates/kitetraild/src/control/mod.rs
+++ b/crates/kitetraild/src/control/mod.rs
@@ -37,14 +37,14 @@
 /// A message from a peer.
 #[derive(Debug)]
 pub enum PeerMessage {
-    /// Exchange heartbeats.
+    /// Exchanges heartbeats.
     Exchange(View, oneshot::Sender<View>),
-    /// Update the endpoints of a shard's services.
+    /// Publishes the endpoints of a shard's services.
     Publish(EndpointSet),
-    /// Read the inbox of a shard, because it holds new items.
+    /// Reports that a shard's inbox holds new items.
     Wake(String),
-    /// Apply a configuration revision.
+    /// Announces a configuration revision.
     Announce(Revision),
-    /// Return everything that a new box needs to know.
+    /// Asks for everything that a new box needs to know.
     Fetch(oneshot::Sender<Knowledge>),
 }
--- a/crates/kitetraild/src/control/operations.rs
+++ b/crates/kitetraild/src/control/operations.rs
@@ -188,7 +188,8 @@
         Ok(row.and_then(revision_from_row))
     }
 
-    /// Returns the error for a change that lost against a concurrent one, and names the other change.
+    /// Returns the error for a change that lost against a concurrent one, and names the other
+    /// change.
     async fn conflict_error(&self, number: u64) -> OperatorError {
         let winner = match self.revision(number).await {
             Ok(Some(Revision { author, change, .. })) => format!("by {author} with {change}"),
@@ -207,8 +208,8 @@
         })
     }
 
-    /// Divides a spec's tasks among shards, in proportion to the number of live workers that are large
-    /// enough for a task.
+    /// Divides a spec's tasks among shards, in proportion to the number of live workers that are
+    /// large enough for a task.
     fn divide_among_shards(&self, spec: &Spec) -> Result<Vec<ShardTasks>, OperatorError> {
         let mut able_workers: BTreeMap<ShardId, u32> = BTreeMap::new();
         let is_live = |worker: &&WorkerInfo| worker.state == Liveness::Live;
--- a/crates/kitetraild/src/control/requests.rs
+++ b/crates/kitetraild/src/control/requests.rs
@@ -70,29 +70,29 @@
 /// A request of an operator.
 #[derive(Debug)]
 pub enum OperatorRequest {
-    /// Return whether this box is ready to receive requests.
+    /// Asks whether this box is ready to receive requests.
     Ready(oneshot::Sender<bool>),
-    /// Return the status of this box.
+    /// Asks for the status of this box.
     Status(Reply<BoxStatus>),
-    /// Return the box list that this box last read.
+    /// Asks for the box list that this box last read.
     Boxes(Reply<Fleet>),
-    /// Return all specs of a kind.
+    /// Asks for all specs of a kind.
     List(Kind, Reply<Vec<SpecRow>>),
-    /// Return a spec and its tasks.
+    /// Asks for a spec and its tasks.
     Show(SpecName, Reply<SpecStatus>),
-    /// Create a spec.
+    /// Creates a spec.
     Create(Author, Spec, Reply<SpecRow>),
-    /// Cancel a spec permanently.
+    /// Cancels a spec permanently.
     Cancel(Author, SpecName, Reply<SpecRow>),
-    /// Return all recorded changes.
+    /// Asks for all recorded changes.
     Audit(Reply<Vec<AuditEntry>>),
-    /// Return the configuration that is in force on this box.
+    /// Asks for the configuration that is in force on this box.
     Configuration(Reply<Revision>),
-    /// Return all configuration revisions.
+    /// Asks for all configuration revisions.
     History(Reply<Vec<Revision>>),
-    /// Replace the configuration.
+    /// Replaces the configuration.
     Configure(NewConfiguration, Reply<Revision>),
-    /// Return the revision that is in force on each box.
+    /// Asks for the revision that is in force on each box.
     ConfigurationStatus(Reply<Vec<BoxRevision>>),
 }
 
@@ -137,7 +137,8 @@
     pub change: String,
     /// The author of the change.
     pub author: String,
-    /// The revision on which the configuration is based. The change is refused if another one is in force.
+    /// The revision on which the configuration is based. The change is refused if another one is in
+    /// force.
     pub based_on: u64,
     /// The new configuration.
     pub configuration: Configuration,
--- a/crates/kitetraild/src/logging/bounded.rs
+++ b/crates/kitetraild/src/logging/bounded.rs
@@ -17,7 +17,8 @@
 
 use super::LineBudget;
 
-/// The maximum number of queued lines. With lines of about 350 bytes, the queue takes at most 1.5 MB.
+/// The maximum number of queued lines. With lines of about 350 bytes, the queue takes at most 1.5
+/// MB.
 const MAX_QUEUED_LINES: u64 = 4_096;
 
 /// A counter of the lines that a log dropped.
@@ -32,7 +33,7 @@
 }
 
 /// Creates an appender that writes on a separate thread, and the counter of its dropped lines.
-pub(super) fn bounded(writer: impl Append) -> (BoundedAppender, LeftOut) {
+pub(super) fn new_appender(writer: impl Append) -> (BoundedAppender, LeftOut) {
     let written = Arc::new(AtomicU64::new(0));
     let counting_writer = CountingWriter { writer, written: Arc::clone(&written) };
     let queue = AsyncBuilder::new("log")
--- a/crates/kitetraild/src/logging/budget.rs
+++ b/crates/kitetraild/src/logging/budget.rs
@@ -2,13 +2,13 @@
 
 use std::time::{Duration, Instant};
 
-/// The sustained rate, in lines per second. An owner of 490 workers under load writes about 1,300 lines
-/// per second. At about 350 bytes a line, the log takes at most 0.7 MB per second.
+/// The sustained rate, in lines per second. An owner of 490 workers under load writes about 1,300
+/// lines per second. At about 350 bytes a line, the log takes at most 0.7 MB per second.
 const LINES_PER_SECOND: f64 = 2_000.0;
 /// The maximum burst, in lines: the lines of two seconds.
 const BURST_LINES: f64 = 4_000.0;
-/// The part of the burst that is reserved for warnings and errors, so that a flood of decisions does not
-/// suppress them.
+/// The part of the burst that is reserved for warnings and errors, so that a flood of decisions
+/// does not suppress them.
 const RESERVED_FOR_SEVERE: f64 = 500.0;
 
 /// A token bucket that limits the rate of lines.
--- a/crates/kitetraild/src/logging/mod.rs
+++ b/crates/kitetraild/src/logging/mod.rs
@@ -66,14 +66,14 @@
 pub fn start_bounded(level: Level) -> LeftOut {
     let filter = LevelFilter::MoreSevereEqual(minimum_severity(level));
     let stdout = Stdout::default().with_layout(JsonLayout::default());
-    let (bounded, left_out) = bounded::bounded(stdout);
+    let (bounded, left_out) = bounded::new_appender(stdout);
     logforth::starter_log::builder()
         .dispatch(|dispatch| dispatch.filter(filter).append(bounded))
         .apply();
     left_out
 }
 
-/// Flushes the queued lines, for at most [`FLUSH_TIMEOUT`].
+/// Flushes the queued lines, for at most `FLUSH_TIMEOUT`.
 pub fn flush_soon() {
     let (done, flushed) = mpsc::channel();
     thread::spawn(move || {
--- a/crates/kitetraild/src/settings.rs
+++ b/crates/kitetraild/src/settings.rs
@@ -167,7 +167,8 @@
 pub struct Requests {
     /// The strategy that chooses a request's endpoint.
     pub balancer: BalancerChoice,
-    /// Whether concurrency limits, the queue and ejection are enabled. Disabled only for a baseline.
+    /// Whether concurrency limits, the queue and ejection are enabled. Disabled only for a
+    /// baseline.
     pub limits: bool,
     /// The timeout of a request whose caller does not give one.
     pub default_timeout_ms: Millis,
@@ -232,7 +233,8 @@
     pub sha256: Digest,
     /// The role of the token's bearer.
     pub role: OperatorRole,
-    /// The team whose specs the bearer may change. If left out, the bearer may change all teams' specs.
+    /// The team whose specs the bearer may change. If left out, the bearer may change all teams'
+    /// specs.
     pub team: Option<TeamId>,
 }
 
--- a/crates/kitetraild/tests/settings.rs
+++ b/crates/kitetraild/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Tests that settings are parsed, and that mistakes in them are reported with their line or setting.
+//! Tests that settings are parsed, and that mistakes in them are reported with their line or
+//! setting.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 use expect_test::expect_file;
