--- a/crates/kitetrail-core/src/jobs/crashes.rs
+++ b/crates/kitetrail-core/src/jobs/crashes.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::names::{Incarnation, LifeId, LifeKey};
+use super::names::{Incarnation, InstanceKey, WorkerName};
 
 /// The weight of a crash right after the task had started on the worker.
 const IMMEDIATE_CRASH_WEIGHT: u32 = 20;
@@ -88,7 +88,7 @@
     /// The number of the run.
     pub run: u32,
     /// The worker that was to run it.
-    pub worker: LifeId,
+    pub worker: WorkerName,
     /// The incarnation of the worker, if the platform reports it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<Incarnation>,
@@ -96,13 +96,13 @@
 
 impl BegunRun {
     /// Creates the entry of a run that is about to be started on a worker instance.
-    pub fn new(run: u32, LifeKey { id, incarnation }: LifeKey) -> Self {
+    pub fn new(run: u32, InstanceKey { id, incarnation }: InstanceKey) -> Self {
         Self { run, worker: id, incarnation }
     }
 
     /// Returns the worker instance that was to run it.
-    pub fn life(&self) -> LifeKey {
-        LifeKey { id: self.worker.clone(), incarnation: self.incarnation }
+    pub fn instance(&self) -> InstanceKey {
+        InstanceKey { id: self.worker.clone(), incarnation: self.incarnation }
     }
 }
 
@@ -116,7 +116,7 @@
     /// The workers that crashed, in order. A worker that restarted under its id and crashed again
     /// is listed twice.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub workers: Vec<LifeId>,
+    pub workers: Vec<WorkerName>,
     /// The total weight of these crashes.
     #[serde(default)]
     pub weight: u32,
@@ -168,14 +168,14 @@
 
     /// Counts a crash. If the run time differs from that of the crashes before, the count
     /// restarts.
-    pub fn note(&mut self, life: &LifeKey, evidence: CrashEvidence, ran: Option<RanFor>) {
+    pub fn note(&mut self, instance: &InstanceKey, evidence: CrashEvidence, ran: Option<RanFor>) {
         let differs = |(last, ran): (RanFor, RanFor)| !last.is_similar(ran);
         if self.ran.zip(ran).is_some_and(differs) {
             self.clear();
         }
         // A stored start may belong to a later run on another worker: that entry stays.
-        self.begun.take_if(|begun| begun.life() == *life);
-        self.workers.push(life.id.clone());
+        self.begun.take_if(|begun| begun.instance() == *instance);
+        self.workers.push(instance.id.clone());
         self.ran = ran.or(self.ran).or(Some(RanFor::UNKNOWN));
         self.fell_at_once |= evidence == CrashEvidence::FellAtOnce;
         self.weight += match evidence {
--- a/crates/kitetrail-core/src/jobs/event.rs
+++ b/crates/kitetrail-core/src/jobs/event.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    life::LifeNo,
-    names::{Incarnation, JobId, LifeId},
-    note::Note,
+    instance::InstanceNo,
+    log_entry::LogEntry,
+    names::{Incarnation, JobId, WorkerName},
     order::{Order, OrderAnswer},
     record::Record,
     report::{Hold, HoldFailure, Report, RunEnd},
@@ -61,7 +61,7 @@
     /// An order was answered, or counts as unanswered.
     OrderAnswered {
         /// The worker instance.
-        life: LifeNo,
+        instance: InstanceNo,
         /// The order.
         order: Order,
         /// The answer.
@@ -70,7 +70,7 @@
     /// A hold was answered, or counts as unanswered.
     Held {
         /// The worker instance.
-        life: LifeNo,
+        instance: InstanceNo,
         /// The hold.
         hold: Hold,
         /// The time at which it was sent.
@@ -82,7 +82,7 @@
     /// rest of the report is out of date.
     LateEnds {
         /// The worker instance that the hold was sent to.
-        life: LifeNo,
+        instance: InstanceNo,
         /// The incarnation that answered, if the platform reports it.
         incarnation: Option<Incarnation>,
         /// The ended runs, in the order of their numbers.
@@ -105,12 +105,12 @@
     /// A worker is no longer listed.
     Gone {
         /// The worker.
-        id: LifeId,
+        id: WorkerName,
         /// The time since the last heartbeat in the removed entry, if known.
         silent_for: Option<Duration>,
     },
     /// The entry of a worker is invalid: the worker can't be used until the entry is corrected.
-    Unusable(LifeId),
+    Unusable(WorkerName),
     /// The list was read completely, and all listed workers have been passed on.
     Whole,
 }
@@ -156,7 +156,7 @@
     /// answer to this one.
     Order {
         /// The worker instance.
-        life: LifeNo,
+        instance: InstanceNo,
         /// The worker's entry, with its address.
         entry: Arc<WorkerEntry>,
         /// The fencing token.
@@ -169,7 +169,7 @@
     /// Asks a worker what it runs, and renews its leases.
     Hold {
         /// The worker instance.
-        life: LifeNo,
+        instance: InstanceNo,
         /// The worker's entry, with its address.
         entry: Arc<WorkerEntry>,
         /// The hold.
@@ -187,7 +187,7 @@
     /// Answers a caller who cancelled a job.
     AnswerCancel(RequestNo, CancelAnswer),
     /// Logs a decision.
-    Note(Note),
+    Log(LogEntry),
     /// A worker has seen a higher fencing token: another owner has taken over the fleet.
     Deposed,
 }
--- a/crates/kitetrail-core/src/jobs/life.rs
+++ b/crates/kitetrail-core/src/jobs/instance.rs
@@ -9,11 +9,11 @@
 };
 
 use super::{
-    names::{LifeId, TaskName},
+    names::{TaskName, WorkerName},
     order::Order,
     report::Report,
-    run::{Phase, RunThere},
-    scheduler::{CLOCK_SLOW_PERCENT, crashed::Suspect, room::Room, tails::ImageNo},
+    run::{Phase, PlacedRun},
+    scheduler::{CLOCK_SLOW_PERCENT, crashed::Suspect, free_capacity::Room, tails::ImageNo},
     worker_entry::WorkerEntry,
 };
 use crate::Time;
@@ -23,9 +23,9 @@
 
 /// The number of a worker instance, unique within one scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LifeNo(pub u32);
+pub struct InstanceNo(pub u32);
 
-impl Display for LifeNo {
+impl Display for InstanceNo {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(f, "life-{}", self.0)
     }
@@ -54,7 +54,7 @@
 
 /// Why all runs of a worker instance are over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum LifeEnd {
+pub(super) enum InstanceEnd {
     /// Another instance answers at its address.
     AnotherAnswers,
     /// A later instance answers on its machine.
@@ -66,7 +66,7 @@
     Gone,
 }
 
-impl LifeEnd {
+impl InstanceEnd {
     pub(super) fn why(self) -> &'static str {
         match self {
             Self::AnotherAnswers => "over: another instance answers at its address",
@@ -148,7 +148,7 @@
 
 /// One instance of a worker.
 #[derive(Debug)]
-pub(super) struct Life {
+pub(super) struct WorkerInstance {
     pub(super) entry: Arc<WorkerEntry>,
     pub(super) listing: Listing,
     /// Whether the store holds the record that tasks may be started here.
@@ -174,7 +174,7 @@
     pub(super) lapse_unconfirmed: bool,
     /// The fencing token of the next order.
     pub(super) token: u64,
-    runs: BTreeMap<TaskName, RunThere>,
+    runs: BTreeMap<TaskName, PlacedRun>,
     /// The free resources; `None` if they must be computed again.
     pub(super) room: Option<Room>,
     /// The orders that wait until the sent one is answered.
@@ -216,7 +216,7 @@
     pub(super) paces: BTreeMap<ImageNo, Pace>,
 }
 
-impl Life {
+impl WorkerInstance {
     pub(super) fn new(entry: WorkerEntry, token: u64, lapses_at: Time, now: Time) -> Self {
         Self {
             entry: Arc::new(entry),
@@ -257,7 +257,7 @@
         }
     }
 
-    pub(super) fn id(&self) -> &LifeId {
+    pub(super) fn id(&self) -> &WorkerName {
         &self.entry.id
     }
 
@@ -315,12 +315,12 @@
     }
 
     /// Returns the runs here, as far as known.
-    pub(super) fn runs(&self) -> &BTreeMap<TaskName, RunThere> {
+    pub(super) fn runs(&self) -> &BTreeMap<TaskName, PlacedRun> {
         &self.runs
     }
 
     pub(super) fn serves(&self) -> bool {
-        self.runs.values().any(RunThere::serves)
+        self.runs.values().any(PlacedRun::serves)
     }
 
     pub(super) fn fills(&self) -> bool {
@@ -362,28 +362,28 @@
 
     /// Returns a run for updates of its state. Its size must not change, since the free resources
     /// are not computed again.
-    pub(super) fn run_mut(&mut self, task: TaskName, run: u32) -> Option<&mut RunThere> {
+    pub(super) fn run_mut(&mut self, task: TaskName, run: u32) -> Option<&mut PlacedRun> {
         self.runs.get_mut(&task).filter(|known| known.run == run)
     }
 
     /// Returns all runs for updates of their state. Their sizes must not change.
-    pub(super) fn runs_mut(&mut self) -> impl Iterator<Item = (TaskName, &mut RunThere)> {
+    pub(super) fn runs_mut(&mut self) -> impl Iterator<Item = (TaskName, &mut PlacedRun)> {
         self.runs.iter_mut().map(|(&task, run)| (task, run))
     }
 
-    pub(super) fn insert_run(&mut self, task: TaskName, run: RunThere) {
+    pub(super) fn insert_run(&mut self, task: TaskName, run: PlacedRun) {
         self.room = None;
         self.runs.insert(task, run);
     }
 
     /// Removes a run, if present.
-    pub(super) fn remove_run(&mut self, task: TaskName, run: u32) -> Option<RunThere> {
+    pub(super) fn remove_run(&mut self, task: TaskName, run: u32) -> Option<PlacedRun> {
         self.run_mut(task, run)?;
         self.room = None;
         self.runs.remove(&task)
     }
 
-    pub(super) fn take_runs(&mut self) -> BTreeMap<TaskName, RunThere> {
+    pub(super) fn take_runs(&mut self) -> BTreeMap<TaskName, PlacedRun> {
         self.room = None;
         mem::take(&mut self.runs)
     }
@@ -416,7 +416,7 @@
     }
 
     /// Returns whether the order to start a run was sent, so that the run may have started.
-    pub(super) fn was_sent(&self, task: TaskName, run: &RunThere) -> bool {
+    pub(super) fn was_sent(&self, task: TaskName, run: &PlacedRun) -> bool {
         let waits = |order: &Order| matches!(order, Order::Start(start) if start.task == task);
         match run.phase {
             Phase::Unkept => false,
@@ -427,7 +427,7 @@
 
     /// Returns the time that a run is known to have run here, from the confirmation of its start to
     /// the worker's last answer; `None` if its start was not confirmed.
-    pub(super) fn known_to_run(&self, run: &RunThere) -> Option<Duration> {
+    pub(super) fn known_to_run(&self, run: &PlacedRun) -> Option<Duration> {
         let Phase::Running(since) = run.phase else { return None };
         Some(self.heard_at.map_or(Duration::ZERO, |heard_at| heard_at.since(since)))
     }
--- a/crates/kitetrail-core/src/jobs/note.rs
+++ b/crates/kitetrail-core/src/jobs/log_entry.rs
@@ -3,7 +3,7 @@
 use super::{
     crashes::CrashEvidence,
     event::JobState,
-    names::{Incarnation, JobId, LifeId, QueueName, TaskName},
+    names::{Incarnation, JobId, QueueName, TaskName, WorkerName},
     order::OrderAnswer,
     report::HowEnded,
     spec::WorkKind,
@@ -12,7 +12,7 @@
 
 /// A decision to be logged.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Note {
+pub enum LogEntry {
     /// A job was accepted, or was already known.
     Submitted {
         /// The job.
@@ -42,7 +42,7 @@
         /// The run.
         run: u32,
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// The worker's free resources before the placement.
         free: Resources,
         /// The time since the worker's last answer, in milliseconds; `None` if it has never
@@ -56,7 +56,7 @@
         /// The run.
         run: u32,
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// How the run ended.
         how: HowEnded,
     },
@@ -68,7 +68,7 @@
         /// The run.
         run: u32,
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// The end number in the report.
         number: u64,
         /// The highest end number received so far.
@@ -77,7 +77,7 @@
     /// A worker restarted under its id as another incarnation.
     WorkerRestarted {
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// The previous incarnation, if reported.
         before: Option<Incarnation>,
         /// The current incarnation, if reported.
@@ -94,7 +94,7 @@
         /// The run.
         run: u32,
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// The reason.
         why: &'static str,
         /// The time that the run is known to have run there, in milliseconds; `None` if its start
@@ -108,7 +108,7 @@
         /// The task.
         task: TaskName,
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// How strongly the crash suggests that the task caused it.
         evidence: CrashEvidence,
         /// The number of consecutive crashes counted against the task.
@@ -124,7 +124,7 @@
         /// The task.
         task: TaskName,
         /// The workers that crashed while they ran the task, in order.
-        workers: Vec<LifeId>,
+        workers: Vec<WorkerName>,
     },
     /// A run is stopped to continue on another worker.
     RunMoved {
@@ -133,7 +133,7 @@
         /// The run.
         run: u32,
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// The reason.
         why: &'static str,
     },
@@ -144,14 +144,14 @@
         /// The run.
         run: u32,
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// The answer.
         answer: OrderAnswer,
     },
     /// The assessment of a worker changed.
     Worker {
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// The new assessment.
         belief: &'static str,
         /// The time since the worker's last answer, in milliseconds; `None` if it has never
@@ -205,7 +205,7 @@
     /// The best-effort runs on a worker were throttled, or their throttling changed.
     Paced {
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// Their share of full speed, in percent.
         percent: u8,
         /// The highest tail latency on the worker relative to its target, in percent.
--- a/crates/kitetrail-core/src/jobs/mod.rs
+++ b/crates/kitetrail-core/src/jobs/mod.rs
@@ -8,11 +8,11 @@
 
 mod crashes;
 mod event;
+mod instance;
+mod instances;
 mod job;
-mod life;
-mod lives;
+mod log_entry;
 mod names;
-mod note;
 mod order;
 mod record;
 mod report;
@@ -24,12 +24,12 @@
 
 pub use crashes::{BegunRun, CrashEvidence, RanFor, TaskCrashes};
 pub use event::{Action, CancelAnswer, Discovery, Event, JobState, RequestNo, SubmitAnswer};
-pub use life::LifeNo;
-pub use names::{Incarnation, InvalidName, JobId, LifeId, LifeKey, QueueName, TaskName};
-pub use note::Note;
+pub use instance::InstanceNo;
+pub use log_entry::LogEntry;
+pub use names::{Incarnation, InstanceKey, InvalidName, JobId, QueueName, TaskName, WorkerName};
 pub use order::{Order, OrderAnswer, Refusal, StartOrder};
 pub use record::{
-    EffectsRecord, JobRecord, LifeRecord, OccurrenceProgress, Outcome, ProgressRecord, Record,
+    EffectsRecord, InstanceRecord, JobRecord, OccurrenceProgress, Outcome, ProgressRecord, Record,
     ServingEffects, StepProgress,
 };
 pub use report::{Hold, HoldFailure, HowEnded, Report, RunEnd, RunningTask};
--- a/crates/kitetrail-core/src/jobs/names.rs
+++ b/crates/kitetrail-core/src/jobs/names.rs
@@ -173,7 +173,7 @@
 string_newtype! {
     /// The id of a worker. A worker that restarts has another id, or the same id and another
     /// [`Incarnation`].
-    LifeId
+    WorkerName
 }
 
 /// The incarnation of a worker under its id: the time of its start, in milliseconds since 1970.
@@ -203,14 +203,14 @@
 /// The key of a worker instance. Its runs end with it, and its run numbers and clock are
 /// meaningless to the next one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LifeKey {
+pub struct InstanceKey {
     /// The worker.
-    pub id: LifeId,
+    pub id: WorkerName,
     /// The incarnation, if the platform reports it.
     pub incarnation: Option<Incarnation>,
 }
 
-impl Display for LifeKey {
+impl Display for InstanceKey {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self.incarnation {
             Some(incarnation) => write!(f, "{}@{incarnation}", self.id),
--- a/crates/kitetrail-core/src/jobs/record.rs
+++ b/crates/kitetrail-core/src/jobs/record.rs
@@ -6,7 +6,7 @@
 
 use super::{
     crashes::TaskCrashes,
-    names::{Incarnation, JobId, LifeId, LifeKey},
+    names::{Incarnation, InstanceKey, JobId, WorkerName},
     spec::{JobSpec, QueueTerms},
 };
 
@@ -36,13 +36,13 @@
     /// Writes the progress of a job, at each change that must be durable.
     Progress(ProgressRecord),
     /// Removes the specification of a job that has ended and is no longer needed.
-    DropJob(JobId),
+    RemoveJob(JobId),
     /// Removes the progress of a job that has ended, after its retention time.
-    Forget(JobId),
+    RemoveProgress(JobId),
     /// Writes a worker instance that tasks may be started on, before the first of them is started.
-    LifeUsed(LifeRecord),
+    PutInstance(InstanceRecord),
     /// Removes a worker instance on which certainly nothing runs any more.
-    LifeOver(LifeKey),
+    RemoveInstance(InstanceKey),
     /// Writes the learned interference between images.
     Effects(EffectsRecord),
 }
@@ -71,9 +71,9 @@
 /// Before a new owner starts a task again that no worker reports, it must have an answer of each of
 /// these instances, or wait until its leases have expired.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LifeRecord {
+pub struct InstanceRecord {
     /// The worker.
-    pub id: LifeId,
+    pub id: WorkerName,
     /// The incarnation. Also `None` in rows written before incarnations were distinguished.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<Incarnation>,
@@ -86,10 +86,10 @@
     pub not_leased: bool,
 }
 
-impl LifeRecord {
+impl InstanceRecord {
     /// Returns the key of the instance.
-    pub fn key(&self) -> LifeKey {
-        LifeKey { id: self.id.clone(), incarnation: self.incarnation }
+    pub fn key(&self) -> InstanceKey {
+        InstanceKey { id: self.id.clone(), incarnation: self.incarnation }
     }
 }
 
--- a/crates/kitetrail-core/src/jobs/report.rs
+++ b/crates/kitetrail-core/src/jobs/report.rs
@@ -27,7 +27,7 @@
     /// The worker has seen a higher fencing token.
     Fenced,
     /// This worker instance is over.
-    LifeOver,
+    InstanceOver,
     /// The worker answered that it is unhealthy.
     Unhealthy,
     /// No answer arrived.
--- a/crates/kitetrail-core/src/jobs/run.rs
+++ b/crates/kitetrail-core/src/jobs/run.rs
@@ -49,7 +49,7 @@
 
 /// A run on a worker, as far as the scheduler knows.
 #[derive(Debug, Clone)]
-pub(super) struct RunThere {
+pub(super) struct PlacedRun {
     pub(super) run: u32,
     pub(super) phase: Phase,
     pub(super) size: Resources,
@@ -84,7 +84,7 @@
     pub(super) over_since: Option<Time>,
 }
 
-impl RunThere {
+impl PlacedRun {
     /// Creates a run whose start order has not been sent yet.
     pub(super) fn new(run: u32, spec: &StepSpec, image: ImageNo, now: Time) -> Self {
         Self {
--- a/crates/kitetrail-core/src/jobs/scheduler/backlog.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/backlog.rs
@@ -6,7 +6,7 @@
     super::{
         event::Action,
         job::Job,
-        note::Note,
+        log_entry::LogEntry,
         spec::{StepSpec, WorkKind},
     },
     Scheduler,
@@ -68,7 +68,7 @@
             if waiting.tasks == TaskCounts::default() && started == TaskCounts::default() {
                 continue;
             }
-            self.out.push(Action::Note(Note::Backlog {
+            self.out.push(Action::Log(LogEntry::Backlog {
                 kind,
                 waiting_in_time: waiting.tasks.in_time,
                 waiting_late: waiting.tasks.late,
@@ -85,7 +85,7 @@
         if self.pending.is_empty() && self.pending.unpersisted_ends() == 0 {
             return;
         }
-        self.out.push(Action::Note(Note::Unkept {
+        self.out.push(Action::Log(LogEntry::Unkept {
             records: self.pending.len() as u64,
             ends: self.pending.unpersisted_ends() as u64,
             batch_sent_ago_ms: self.pending.sent_ago(self.now).map(|ago| ago.as_millis() as u64),
--- a/crates/kitetrail-core/src/jobs/scheduler/commit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/commit.rs
@@ -6,10 +6,10 @@
 use super::{
     super::{
         event::{Action, CancelAnswer, SubmitAnswer},
+        instance::InstanceNo,
         job::Job,
-        life::LifeNo,
         names::JobId,
-        record::{LifeRecord, Outcome, Record},
+        record::{InstanceRecord, Outcome, Record},
         worker_entry::WorkerEntry,
     },
     Scheduler,
@@ -51,8 +51,8 @@
                 self.finish_persisted_job(id);
             }
         }
-        for life_no in batch.lives {
-            self.mark_life_persisted(life_no);
+        for instance_no in batch.instances {
+            self.mark_instance_persisted(instance_no);
         }
         self.send_persisted_starts(batch.starts);
         self.acknowledge_persisted_ends();
@@ -66,8 +66,8 @@
     /// Allows acknowledging the ends of runs whose changes are all persisted.
     fn acknowledge_persisted_ends(&mut self) {
         for end in self.pending.take_kept_ends() {
-            if let Some(life) = self.lives.get_mut(end.life) {
-                life.ends_kept = life.ends_kept.max(end.number);
+            if let Some(instance) = self.instances.get_mut(end.instance) {
+                instance.ends_kept = instance.ends_kept.max(end.number);
             }
         }
     }
@@ -96,7 +96,7 @@
         let kept_bytes = |id: JobId| self.jobs.get(&id).map_or(0, |job| job.spec.kept_bytes());
         let has_ended = |id: JobId| self.jobs.get(&id).is_some_and(|job| !job.is_open());
         let taken = self.pending.take_batch(kept_bytes, has_ended);
-        self.mark_lives_sent(&taken.lives);
+        self.mark_instances_sent(&taken.instances);
         let mut records = self.records(&taken);
         if self.now.since(self.pending.effects_at) >= EFFECTS_PERSIST_INTERVAL {
             self.pending.effects_at = self.now;
@@ -106,8 +106,8 @@
         let outcomes = taken.progress.iter().filter_map(job);
         let outcomes = outcomes.map(|job| (job.id, job.outcome)).collect();
         let starts = self.kept_starts.take(&taken.progress);
-        let (new_jobs, lives) = (taken.new_jobs, taken.lives);
-        let batch = |number| Batch { number, new_jobs, outcomes, lives, starts };
+        let (new_jobs, instances) = (taken.new_jobs, taken.instances);
+        let batch = |number| Batch { number, new_jobs, outcomes, instances, starts };
         let batch = self.pending.note_sent(batch, self.now);
         self.pending.urgent = !taken.complete;
         self.out.push(Action::Commit { batch, records });
@@ -116,11 +116,17 @@
     /// Returns the store records of a batch.
     fn records(&self, taken: &Taken) -> Vec<Record> {
         let job = |id: &JobId| self.jobs.get(id);
-        let used = |life: &LifeNo| {
-            let life = self.lives.get(*life)?;
-            let WorkerEntry { id, incarnation, address, service, .. } = (*life.entry).clone();
-            let not_leased = life.sent_not_leased;
-            Some(Record::LifeUsed(LifeRecord { id, incarnation, address, service, not_leased }))
+        let used = |instance: &InstanceNo| {
+            let instance = self.instances.get(*instance)?;
+            let WorkerEntry { id, incarnation, address, service, .. } = (*instance.entry).clone();
+            let not_leased = instance.sent_not_leased;
+            Some(Record::PutInstance(InstanceRecord {
+                id,
+                incarnation,
+                address,
+                service,
+                not_leased,
+            }))
         };
         // For a job that has already ended, only its progress is persisted.
         let new_jobs = taken.new_jobs.iter().filter_map(job).filter(|job| job.is_open());
@@ -128,11 +134,11 @@
         let dropped = progress.clone().filter(|job| job.kept && !job.is_open()).map(|job| job.id);
         let mut records = Vec::new();
         records.extend(new_jobs.map(Job::record).map(Record::Job));
-        records.extend(taken.lives.iter().filter_map(used));
+        records.extend(taken.instances.iter().filter_map(used));
         records.extend(progress.map(Job::progress).map(Record::Progress));
-        records.extend(dropped.map(Record::DropJob));
-        records.extend(taken.lives_over.iter().cloned().map(Record::LifeOver));
-        records.extend(taken.forgotten.iter().copied().map(Record::Forget));
+        records.extend(dropped.map(Record::RemoveJob));
+        records.extend(taken.ended_instances.iter().cloned().map(Record::RemoveInstance));
+        records.extend(taken.forgotten.iter().copied().map(Record::RemoveProgress));
         records
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/confirmation.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/confirmation.rs
@@ -9,26 +9,26 @@
 
 use std::mem;
 
-use super::{super::life::LifeNo, Scheduler};
+use super::{super::instance::InstanceNo, Scheduler};
 
 impl Scheduler {
     /// Returns whether a worker is silent and its lease has expired, whichever owner renewed it.
-    pub(super) fn silent_lease_has_expired(&mut self, life_no: LifeNo) -> bool {
+    pub(super) fn silent_lease_has_expired(&mut self, instance_no: InstanceNo) -> bool {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(life_no) else { return false };
-        if life.silent == 0 || life.lapses_at > now {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return false };
+        if instance.silent == 0 || instance.lapses_at > now {
             return false;
         }
-        let expired_at = life.lapses_at;
+        let expired_at = instance.lapses_at;
         if self.pending.is_confirmed_since(expired_at) {
-            life.lapse_unconfirmed = false;
+            instance.lapse_unconfirmed = false;
             return true;
         }
-        let newly_unconfirmed = !mem::replace(&mut life.lapse_unconfirmed, true);
+        let newly_unconfirmed = !mem::replace(&mut instance.lapse_unconfirmed, true);
         self.pending.want_confirmation_since(expired_at);
         if newly_unconfirmed {
             self.log_worker_state(
-                life_no,
+                instance_no,
                 "silent, lease expired, ownership not confirmed by the store",
             );
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
@@ -11,11 +11,11 @@
     super::{
         crashes::{CrashEvidence, RanFor},
         event::Action,
-        life::{Life, LifeEnd, LifeNo, Listing},
-        names::{LifeId, LifeKey, TaskName},
-        note::Note,
+        instance::{InstanceEnd, InstanceNo, Listing, WorkerInstance},
+        log_entry::LogEntry,
+        names::{InstanceKey, TaskName, WorkerName},
         record::Outcome,
-        run::{Phase, RunThere},
+        run::{Phase, PlacedRun},
     },
     Scheduler,
 };
@@ -62,7 +62,7 @@
 #[derive(Debug)]
 pub(super) struct LostWorker {
     lost_at: Time,
-    worker: LifeId,
+    worker: WorkerName,
     address: String,
     /// The highest fencing token sent, or about to be sent, to the worker.
     token: u64,
@@ -71,19 +71,21 @@
 impl Scheduler {
     /// Returns the runs that may have crashed a worker whose incarnation ended; empty if it did not
     /// crash.
-    pub(super) fn crash_suspects(&self, life_no: LifeNo, end: LifeEnd) -> Vec<Suspect> {
-        let Some(life) = self.lives.get(life_no).filter(|life| !life.entry.draining) else {
+    pub(super) fn crash_suspects(&self, instance_no: InstanceNo, end: InstanceEnd) -> Vec<Suspect> {
+        let Some(instance) =
+            self.instances.get(instance_no).filter(|instance| !instance.entry.draining)
+        else {
             return Vec::new();
         };
-        let recorded = life.begun_before.iter().copied().map(Suspect::from_recorded_start);
-        let mut suspects = recorded.chain(life.suspects.iter().cloned()).collect::<Vec<_>>();
-        suspects.extend(suspects_among(life, self.now));
-        let with_others = self.lost_with_others(life);
+        let recorded = instance.begun_before.iter().copied().map(Suspect::from_recorded_start);
+        let mut suspects = recorded.chain(instance.suspects.iter().cloned()).collect::<Vec<_>>();
+        suspects.extend(suspects_among(instance, self.now));
+        let with_others = self.lost_with_others(instance);
         // If the worker left, is only unreachable, or was lost together with others, runs that had
         // lasted a while are not implicated.
-        let implicates_all = end != LifeEnd::Gone
-            && !matches!(life.listing, Listing::Gone { .. })
-            && !life.zone_evacuated
+        let implicates_all = end != InstanceEnd::Gone
+            && !matches!(instance.listing, Listing::Gone { .. })
+            && !instance.zone_evacuated
             && !with_others;
         suspects.retain(|suspect| implicates_all || suspect.evidence != CrashEvidence::RanThere);
         for suspect in &mut suspects {
@@ -99,33 +101,33 @@
     /// A crash is confirmed only once another incarnation answers or the worker's entry has
     /// expired. Tasks whose starts are persisted as possible crash causes don't wait for that: a
     /// worker may take longer to return than two more attempts.
-    pub(super) fn drop_runs_of_silent_worker(&mut self, life_no: LifeNo) {
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        let worker = life.entry.key();
+    pub(super) fn drop_runs_of_silent_worker(&mut self, instance_no: InstanceNo) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        let worker = instance.entry.key();
         let recorded =
-            mem::take(&mut life.begun_before).into_iter().map(Suspect::from_recorded_start);
-        let suspects = recorded.chain(suspects_among(life, self.now)).collect::<Vec<_>>();
+            mem::take(&mut instance.begun_before).into_iter().map(Suspect::from_recorded_start);
+        let suspects = recorded.chain(suspects_among(instance, self.now)).collect::<Vec<_>>();
         let is_watched = |suspect: &Suspect| {
             let job = self.jobs.get(&suspect.task.job);
             job.and_then(|job| job.task(suspect.task)).is_some_and(|task| task.watched)
         };
         let (watched, others) = suspects.into_iter().partition::<Vec<_>, _>(is_watched);
-        if let Some(life) = self.lives.get_mut(life_no) {
-            life.suspects.extend(others);
+        if let Some(instance) = self.instances.get_mut(instance_no) {
+            instance.suspects.extend(others);
         }
-        self.drop_all_runs(life_no, "its worker is silent and its lease has expired");
+        self.drop_all_runs(instance_no, "its worker is silent and its lease has expired");
         self.record_crash(&worker, watched);
     }
 
     /// Counts a crash against the tasks that may have caused it. Must be called after the runs of
     /// that incarnation were dropped.
-    pub(super) fn record_crash(&mut self, worker: &LifeKey, suspects: Vec<Suspect>) {
+    pub(super) fn record_crash(&mut self, worker: &InstanceKey, suspects: Vec<Suspect>) {
         for suspect in suspects {
             self.count_crash(worker, &suspect);
         }
     }
 
-    fn count_crash(&mut self, worker: &LifeKey, suspect: &Suspect) {
+    fn count_crash(&mut self, worker: &InstanceKey, suspect: &Suspect) {
         let now = self.now;
         let name = suspect.task;
         let Some(job) = self.jobs.get_mut(&name.job).filter(|job| job.is_open()) else { return };
@@ -140,7 +142,7 @@
         if task.crashes.drops_checkpoint() {
             job.drop_checkpoint(name);
         }
-        self.out.push(Action::Note(Note::CrashedUnder {
+        self.out.push(Action::Log(LogEntry::CrashedUnder {
             task: name,
             worker: worker.id.clone(),
             evidence: suspect.evidence,
@@ -156,24 +158,24 @@
     fn fail_crashing_job(&mut self, name: TaskName) {
         let task = self.task_mut(name);
         let workers = task.map(|task| task.crashes.workers.clone()).unwrap_or_default();
-        self.out.push(Action::Note(Note::CrashingTaskGivenUp { task: name, workers }));
+        self.out.push(Action::Log(LogEntry::CrashingTaskGivenUp { task: name, workers }));
         self.end_job(name.job, Outcome::Failed);
     }
 
     /// Checks the suspects that a worker reports as running. After a while others may run beside
     /// them, and later they are cleared.
-    pub(super) fn check_suspects(&mut self, life_no: LifeNo) {
-        let Some(life) = self.lives.get(life_no) else { return };
-        let suspects = life.runs().iter().filter(|(_, run)| run.suspected);
+    pub(super) fn check_suspects(&mut self, instance_no: InstanceNo) {
+        let Some(instance) = self.instances.get(instance_no) else { return };
+        let suspects = instance.runs().iter().filter(|(_, run)| run.suspected);
         let confirmed =
-            suspects.filter_map(|(&task, run)| Some((task, run.run, life.known_to_run(run)?)));
+            suspects.filter_map(|(&task, run)| Some((task, run.run, instance.known_to_run(run)?)));
         for (task, run, ran) in confirmed.collect::<Vec<_>>() {
             let cleared = self.clear_suspect(task, ran);
-            let Some(life) = self.lives.get_mut(life_no) else { return };
-            let Some(reported_run) = life.run_mut(task, run) else { continue };
+            let Some(instance) = self.instances.get_mut(instance_no) else { return };
+            let Some(reported_run) = instance.run_mut(task, run) else { continue };
             reported_run.suspected &= !cleared;
             reported_run.alone &= ran < ISOLATION_PERIOD && !cleared;
-            life.room = None;
+            instance.room = None;
             self.placement_needed = true;
         }
     }
@@ -185,19 +187,19 @@
             return false;
         }
         task.crashes.clear();
-        self.out.push(Action::Note(Note::NoMoreSuspected { task: name }));
+        self.out.push(Action::Log(LogEntry::NoMoreSuspected { task: name }));
         self.pending.note(name.job);
         true
     }
 
     /// Returns whether several other workers fell silent at about the same time as this one.
-    fn lost_with_others(&self, life: &Life) -> bool {
-        let silent_since = life.silent_since.unwrap_or(self.now);
+    fn lost_with_others(&self, instance: &WorkerInstance) -> bool {
+        let silent_since = instance.silent_since.unwrap_or(self.now);
         let is_simultaneous = |time: Time| {
             time.since(silent_since) < SIMULTANEOUS_LOSS_WINDOW
                 && silent_since.since(time) < SIMULTANEOUS_LOSS_WINDOW
         };
-        let others = self.lives.values().filter(|other| other.id() != life.id());
+        let others = self.instances.values().filter(|other| other.id() != instance.id());
         let silent =
             others.filter_map(|other| other.silent_since).filter(|&time| is_simultaneous(time));
         let ended = self.lost_workers.iter().filter(|lost| is_simultaneous(lost.lost_at));
@@ -205,18 +207,18 @@
     }
 
     /// Records a lost worker, to detect simultaneous losses and for its later incarnations.
-    pub(super) fn record_lost_worker(&mut self, life: &Life) {
+    pub(super) fn record_lost_worker(&mut self, instance: &WorkerInstance) {
         let now = self.now;
         self.lost_workers.retain(|lost| now.since(lost.lost_at) < LOST_WORKER_RETENTION);
-        let lost_at = life.silent_since.unwrap_or(now);
-        let (worker, address) = (life.id().clone(), life.entry.address.clone());
-        self.lost_workers.push(LostWorker { lost_at, worker, address, token: life.token });
+        let lost_at = instance.silent_since.unwrap_or(now);
+        let (worker, address) = (instance.id().clone(), instance.entry.address.clone());
+        self.lost_workers.push(LostWorker { lost_at, worker, address, token: instance.token });
     }
 
     /// Returns the highest fencing token of a worker's recently ended incarnations.
-    pub(super) fn lost_worker_token(&self, worker: &LifeId) -> Option<u64> {
-        let lives = self.lost_workers.iter().filter(|lost| lost.worker == *worker);
-        lives.map(|lost| lost.token).max()
+    pub(super) fn lost_worker_token(&self, worker: &WorkerName) -> Option<u64> {
+        let instances = self.lost_workers.iter().filter(|lost| lost.worker == *worker);
+        instances.map(|lost| lost.token).max()
     }
 
     /// Returns whether a worker was recently lost at an address.
@@ -226,14 +228,14 @@
 }
 
 /// Returns the runs that may have made a worker fall silent: recently started ones, or else all.
-pub(super) fn suspects_among(life: &Life, now: Time) -> Vec<Suspect> {
-    let ordered = life.runs().iter().filter(|&(&task, run)| life.was_sent(task, run));
+pub(super) fn suspects_among(instance: &WorkerInstance, now: Time) -> Vec<Suspect> {
+    let ordered = instance.runs().iter().filter(|&(&task, run)| instance.was_sent(task, run));
     let ordered = ordered.collect::<Vec<_>>();
-    let any_started = ordered.iter().any(|(_, run)| is_recently_started(life, run));
+    let any_started = ordered.iter().any(|(_, run)| is_recently_started(instance, run));
     let suspects =
-        ordered.into_iter().filter(|(_, run)| !any_started || is_recently_started(life, run));
-    let suspect = |(&task, run): (&TaskName, &RunThere)| {
-        let ran = run_duration_bounds(life, run, now);
+        ordered.into_iter().filter(|(_, run)| !any_started || is_recently_started(instance, run));
+    let suspect = |(&task, run): (&TaskName, &PlacedRun)| {
+        let ran = run_duration_bounds(instance, run, now);
         let evidence = match any_started {
             false => CrashEvidence::RanThere,
             true if !run.is_running() => CrashEvidence::Unconfirmed,
@@ -248,14 +250,14 @@
 }
 
 /// Returns whether a run may have started just before its worker fell silent.
-fn is_recently_started(life: &Life, run: &RunThere) -> bool {
-    !run.adopted && life.known_to_run(run).is_none_or(|ran| ran < RECENT_START_WINDOW)
+fn is_recently_started(instance: &WorkerInstance, run: &PlacedRun) -> bool {
+    !run.adopted && instance.known_to_run(run).is_none_or(|ran| ran < RECENT_START_WINDOW)
 }
 
 /// Returns how long a run had lasted when its worker fell silent.
-fn run_duration_bounds(life: &Life, run: &RunThere, now: Time) -> RanFor {
+fn run_duration_bounds(instance: &WorkerInstance, run: &PlacedRun, now: Time) -> RanFor {
     let Phase::Running(since) = run.phase else { return RanFor::UNKNOWN };
-    let least_ran = life.known_to_run(run).unwrap_or_default();
-    let most_ran = life.silent_since.unwrap_or(now).since(since).max(least_ran);
+    let least_ran = instance.known_to_run(run).unwrap_or_default();
+    let most_ran = instance.silent_since.unwrap_or(now).since(since).max(least_ran);
     RanFor { least_ms: least_ran.as_millis() as u64, most_ms: most_ran.as_millis() as u64 }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/ends.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/ends.rs
@@ -5,12 +5,12 @@
 use super::{
     super::{
         event::Action,
-        life::{JustEnded, LifeNo},
+        instance::{InstanceNo, JustEnded},
+        log_entry::LogEntry,
         names::TaskName,
-        note::Note,
         record::Outcome,
         report::{HowEnded, RunEnd},
-        run::{FULL_PACE_PERCENT, Phase, RunThere},
+        run::{FULL_PACE_PERCENT, Phase, PlacedRun},
         steps::Placement,
     },
     Scheduler,
@@ -23,58 +23,65 @@
 
 impl Scheduler {
     /// Handles an end that a worker reports. Repeated reports are ignored.
-    pub(super) fn handle_run_end(&mut self, life_no: LifeNo, end: &RunEnd) {
+    pub(super) fn handle_run_end(&mut self, instance_no: InstanceNo, end: &RunEnd) {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        if end.number <= life.ends_seen {
-            return self.log_ignored_end(life_no, end);
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        if end.number <= instance.ends_seen {
+            return self.log_ignored_end(instance_no, end);
         }
-        life.ends_seen = end.number;
-        let ended = life.remove_run(end.task, end.run);
+        instance.ends_seen = end.number;
+        let ended = instance.remove_run(end.task, end.run);
         let done = ended.as_ref().filter(|_| end.how == HowEnded::Done);
         let run_duration_ms = done.and_then(|run| run_duration_ms(run, now));
         if let Some(run) = ended.filter(|run| run.fills) {
             let cpu_millis = run.gauge.unwrap_or(run.size.cpu_millis.0);
-            life.just_ended.push(JustEnded { image: run.image, cpu_millis, at: now });
+            instance.just_ended.push(JustEnded { image: run.image, cpu_millis, at: now });
         }
-        self.pending.note_end(life_no, end.number);
+        self.pending.note_end(instance_no, end.number);
         self.record_duration(end.task, run_duration_ms);
-        self.apply_run_end(life_no, end);
+        self.apply_run_end(instance_no, end);
     }
 
     /// Handles ends of an earlier incarnation of a worker that arrive in a late answer.
     ///
     /// The ends are valid regardless of who reports them, but their numbers belong to the earlier
     /// incarnation only.
-    pub(super) fn handle_ends_of_earlier_incarnation(&mut self, life_no: LifeNo, ended: &[RunEnd]) {
+    pub(super) fn handle_ends_of_earlier_incarnation(
+        &mut self,
+        instance_no: InstanceNo,
+        ended: &[RunEnd],
+    ) {
         for end in ended {
-            self.apply_run_end(life_no, end);
+            self.apply_run_end(instance_no, end);
         }
     }
 
     /// Applies the end of a run to its task and its job.
-    fn apply_run_end(&mut self, life_no: LifeNo, end: &RunEnd) {
-        let Some(worker) = self.lives.get(life_no).map(|life| life.id().clone()) else { return };
-        let note = Note::RunEnded { task: end.task, run: end.run, worker, how: end.how };
-        self.out.push(Action::Note(note));
+    fn apply_run_end(&mut self, instance_no: InstanceNo, end: &RunEnd) {
+        let Some(worker) = self.instances.get(instance_no).map(|instance| instance.id().clone())
+        else {
+            return;
+        };
+        let entry = LogEntry::RunEnded { task: end.task, run: end.run, worker, how: end.how };
+        self.out.push(Action::Log(entry));
         self.placement_needed = true;
-        self.remove_placement(end.task, Placement { life: life_no, run: end.run });
+        self.remove_placement(end.task, Placement { instance: instance_no, run: end.run });
         self.update_checkpoint(end);
         match end.how {
-            HowEnded::Done => self.complete_task(life_no, end.task),
-            HowEnded::Failed => self.record_failed_run(life_no, end),
+            HowEnded::Done => self.complete_task(instance_no, end.task),
+            HowEnded::Failed => self.record_failed_run(instance_no, end),
             HowEnded::Stopped | HowEnded::Lapsed | HowEnded::Broken | HowEnded::Alone => {}
         }
     }
 
     /// Logs an end whose number was already seen although its run is considered active. A run whose
     /// end is merely repeated was removed when the end was first reported.
-    fn log_ignored_end(&mut self, life_no: LifeNo, end: &RunEnd) {
-        let Some(life) = self.lives.get(life_no) else { return };
-        if life.runs().get(&end.task).is_some_and(|active_run| active_run.run == end.run) {
+    fn log_ignored_end(&mut self, instance_no: InstanceNo, end: &RunEnd) {
+        let Some(instance) = self.instances.get(instance_no) else { return };
+        if instance.runs().get(&end.task).is_some_and(|active_run| active_run.run == end.run) {
             let RunEnd { task, run, number, .. } = *end;
-            let (worker, seen) = (life.id().clone(), life.ends_seen);
-            self.out.push(Action::Note(Note::EndPassedOver { task, run, worker, number, seen }));
+            let (worker, seen) = (instance.id().clone(), instance.ends_seen);
+            self.out.push(Action::Log(LogEntry::EndPassedOver { task, run, worker, number, seen }));
         }
     }
 
@@ -96,10 +103,10 @@
         }
     }
 
-    fn complete_task(&mut self, life_no: LifeNo, name: TaskName) {
-        if let Some(life) = self.lives.get_mut(life_no) {
-            life.failures = 0;
-            life.set_aside_times = 0;
+    fn complete_task(&mut self, instance_no: InstanceNo, name: TaskName) {
+        if let Some(instance) = self.instances.get_mut(instance_no) {
+            instance.failures = 0;
+            instance.set_aside_times = 0;
         }
         let Some(job) = self.jobs.get_mut(&name.job).filter(|job| job.is_open()) else { return };
         let Some(spec) = job.step_spec(name.step) else { return };
@@ -117,17 +124,17 @@
         self.pending.note(name.job);
         // Other members of a gang end on their own; speculative copies of a task must be stopped.
         for placed in copies.into_iter().filter(|_| !gang) {
-            self.stop_run(placed.life, name, placed.run);
+            self.stop_run(placed.instance, name, placed.run);
         }
         if all_done {
             self.end_job(name.job, Outcome::Completed);
         }
     }
 
-    fn record_failed_run(&mut self, life_no: LifeNo, end: &RunEnd) {
+    fn record_failed_run(&mut self, instance_no: InstanceNo, end: &RunEnd) {
         let now = self.now;
         let name = end.task;
-        self.record_run_failure(life_no);
+        self.record_run_failure(instance_no);
         let Some(job) = self.jobs.get_mut(&name.job).filter(|job| job.is_open()) else { return };
         let Some(spec) = job.step_spec(name.step) else { return };
         let (gang, lasts, max_attempts) = (spec.gang, spec.lasts, job.queue.max_attempts);
@@ -135,7 +142,7 @@
         if !lasts {
             task.failed_runs.insert(end.run);
         }
-        task.avoid = Some(life_no);
+        task.avoid = Some(instance_no);
         let failed = task.failed_runs.len() as u32;
         task.not_before = Some(now + RETRY_BACKOFF * failed.max(1));
         let failed = if gang { job.failed_runs_of_gang(name.step_name()) } else { failed };
@@ -148,7 +155,7 @@
 
 /// Returns the duration of a completed run, in milliseconds, or `None` if it does not represent the
 /// whole task: the run resumed from a checkpoint or was throttled.
-fn run_duration_ms(run: &RunThere, now: Time) -> Option<u64> {
+fn run_duration_ms(run: &PlacedRun, now: Time) -> Option<u64> {
     let Phase::Running(since) = run.phase else { return None };
     let paced = run.fills && run.paced_percent < FULL_PACE_PERCENT;
     let is_representative = run.progress.from_percent == 0 && !paced;
--- a/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
@@ -9,15 +9,15 @@
 use super::{
     super::{
         event::Action,
-        life::{Life, LifeNo, Listing},
+        instance::{InstanceNo, Listing, WorkerInstance},
+        log_entry::LogEntry,
         names::{JobId, StepName, TaskName},
-        note::Note,
         order::Order,
-        run::RunThere,
+        run::PlacedRun,
         spec::StepSpec,
     },
     Scheduler,
-    room::{added, full_loads},
+    free_capacity::{added, full_loads},
     stragglers::left_ms,
 };
 use crate::Time;
@@ -39,7 +39,7 @@
     /// When the last run was moved.
     last_move_at: Time,
     /// The worker searched last; the next search continues after it.
-    last_searched: Option<LifeNo>,
+    last_searched: Option<InstanceNo>,
     /// The steps already checked for whether any worker outside the evacuated zones can run their
     /// tasks.
     checked_steps: BTreeMap<JobId, BTreeSet<u32>>,
@@ -53,19 +53,19 @@
         }
         self.evacuation.zones = zones;
         self.evacuation.checked_steps.clear();
-        for life_no in self.lives.numbers() {
-            self.update_zone_status(life_no);
+        for instance_no in self.instances.numbers() {
+            self.update_zone_status(instance_no);
         }
         self.placement_needed = true;
     }
 
     /// Updates whether a worker is in an evacuated zone.
-    pub(super) fn update_zone_status(&mut self, life_no: LifeNo) {
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        let was_evacuated = life.zone_evacuated;
-        life.zone_evacuated = self.evacuation.zones.contains(&life.entry.zone);
-        if life.zone_evacuated && !was_evacuated {
-            self.cancel_unsent_starts(life_no);
+    pub(super) fn update_zone_status(&mut self, instance_no: InstanceNo) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        let was_evacuated = instance.zone_evacuated;
+        instance.zone_evacuated = self.evacuation.zones.contains(&instance.entry.zone);
+        if instance.zone_evacuated && !was_evacuated {
+            self.cancel_unsent_starts(instance_no);
         }
     }
 
@@ -74,19 +74,19 @@
         if self.evacuation.zones.is_empty() {
             return 0;
         }
-        let lives = self.lives.values().filter(|life| life.zone_evacuated);
-        lives.map(|life| life.runs().len() as u64).sum()
+        let instances = self.instances.values().filter(|instance| instance.zone_evacuated);
+        instances.map(|instance| instance.runs().len() as u64).sum()
     }
 
     /// Cancels orders to start that have not been sent.
-    fn cancel_unsent_starts(&mut self, life_no: LifeNo) {
-        let Some(life) = self.lives.get(life_no) else { return };
+    fn cancel_unsent_starts(&mut self, instance_no: InstanceNo) {
+        let Some(instance) = self.instances.get(instance_no) else { return };
         let start = |order: &Order| match order {
             Order::Start(start) => Some((start.task, start.run)),
             Order::Stop { .. } | Order::Pace { .. } => None,
         };
-        for (task, run) in life.orders.iter().filter_map(start).collect::<Vec<_>>() {
-            self.stop_run(life_no, task, run);
+        for (task, run) in instance.orders.iter().filter_map(start).collect::<Vec<_>>() {
+            self.stop_run(instance_no, task, run);
             if self.step_spec(task).is_some_and(|spec| spec.gang) {
                 self.stop_gang_members(task, run);
             }
@@ -99,10 +99,10 @@
             return;
         };
         let members = (0..).zip(&step.tasks).flat_map(|(index, task)| {
-            task.placed.iter().map(move |placed| (placed.life, name.step_name().task(index)))
+            task.placed.iter().map(move |placed| (placed.instance, name.step_name().task(index)))
         });
-        for (life_no, member) in members.collect::<Vec<_>>() {
-            self.stop_run(life_no, member, run);
+        for (instance_no, member) in members.collect::<Vec<_>>() {
+            self.stop_run(instance_no, member, run);
         }
     }
 
@@ -113,29 +113,33 @@
             return;
         }
         self.evacuation.last_move_at = self.now;
-        for life_no in self.workers_to_evacuate().into_iter().take(MAX_WORKERS_PER_SEARCH) {
-            self.evacuation.last_searched = Some(life_no);
-            if let Some((task, run)) = self.find_run_to_move(life_no) {
-                return self.move_run(life_no, task, run, "moved: its zone is being evacuated");
+        for instance_no in self.workers_to_evacuate().into_iter().take(MAX_WORKERS_PER_SEARCH) {
+            self.evacuation.last_searched = Some(instance_no);
+            if let Some((task, run)) = self.find_run_to_move(instance_no) {
+                return self.move_run(instance_no, task, run, "moved: its zone is being evacuated");
             }
         }
     }
 
     /// Returns the workers to evacuate, in round-robin order.
-    fn workers_to_evacuate(&self) -> Vec<LifeNo> {
+    fn workers_to_evacuate(&self) -> Vec<InstanceNo> {
         let last = self.evacuation.last_searched;
-        let leaves = |life: &Life| life.zone_evacuated && !life.runs().is_empty();
-        let lives = self.lives.iter().filter(|(_, life)| leaves(life) && life.silent == 0);
-        let mut lives = lives.map(|(life_no, _)| life_no).collect::<Vec<_>>();
-        lives.sort_by_key(|&life_no| (last.is_some_and(|last| life_no <= last), life_no));
-        lives
+        let leaves =
+            |instance: &WorkerInstance| instance.zone_evacuated && !instance.runs().is_empty();
+        let instances =
+            self.instances.iter().filter(|(_, instance)| leaves(instance) && instance.silent == 0);
+        let mut instances = instances.map(|(instance_no, _)| instance_no).collect::<Vec<_>>();
+        instances.sort_by_key(|&instance_no| {
+            (last.is_some_and(|last| instance_no <= last), instance_no)
+        });
+        instances
     }
 
     /// Returns a run of a worker that must move and for which there is capacity elsewhere.
-    fn find_run_to_move(&mut self, life_no: LifeNo) -> Option<(TaskName, u32)> {
+    fn find_run_to_move(&mut self, instance_no: InstanceNo) -> Option<(TaskName, u32)> {
         let now = self.now;
-        let life = self.lives.get(life_no)?;
-        let runs = life.runs().iter().filter(|(_, run)| must_move(run, now));
+        let instance = self.instances.get(instance_no)?;
+        let runs = instance.runs().iter().filter(|(_, run)| must_move(run, now));
         let runs = runs.map(|(&task, run)| (task, run.run)).collect::<Vec<_>>();
         runs.into_iter().find(|&(task, _)| {
             let spec = self.step_spec(task).filter(|spec| !spec.gang).cloned();
@@ -150,10 +154,12 @@
     /// Returns whether a task can be placed elsewhere. A latency-critical task must also not be
     /// disturbed by batch tasks there, since it will soon be alone where it is.
     fn has_undisturbed_placement(&mut self, name: TaskName, spec: &StepSpec) -> bool {
-        let Some(life_no) = self.choose(name, spec, &[]) else { return false };
+        let Some(instance_no) = self.choose(name, spec, &[]) else { return false };
         let image = self.jobs.get(&name.job).and_then(|job| job.images.get(name.step as usize));
-        let Some((life, &image)) = self.lives.get(life_no).zip(image) else { return false };
-        spec.tail_target_ms.is_none() || added(&self.tails, &full_loads(life), image) == 0.0
+        let Some((instance, &image)) = self.instances.get(instance_no).zip(image) else {
+            return false;
+        };
+        spec.tail_target_ms.is_none() || added(&self.tails, &full_loads(instance), image) == 0.0
     }
 
     /// Returns whether a task may be interrupted for a move. Tasks of a long-running step move one
@@ -172,9 +178,11 @@
         };
         (0..).zip(&tasks.tasks).all(|(index, task)| {
             task.placed.iter().any(|placed| {
-                let life = self.lives.get(placed.life).filter(|life| life.silent == 0);
-                life.and_then(|life| life.runs().get(&step.task(index)))
-                    .is_some_and(RunThere::is_at_work)
+                let instance =
+                    self.instances.get(placed.instance).filter(|instance| instance.silent == 0);
+                instance
+                    .and_then(|instance| instance.runs().get(&step.task(index)))
+                    .is_some_and(PlacedRun::is_at_work)
             })
         })
     }
@@ -190,13 +198,13 @@
         if !self.evacuation.checked_steps.entry(step.job).or_default().insert(step.step) {
             return;
         }
-        let capable = |life: &&Life| {
-            life.listing == Listing::Listed && could_run(life, &job.queue.service, spec)
+        let capable = |instance: &&WorkerInstance| {
+            instance.listing == Listing::Listed && could_run(instance, &job.queue.service, spec)
         };
-        let mut capable = self.lives.values().filter(capable).peekable();
-        if capable.peek().is_some() && capable.all(|life| life.zone_evacuated) {
+        let mut capable = self.instances.values().filter(capable).peekable();
+        if capable.peek().is_some() && capable.all(|instance| instance.zone_evacuated) {
             let (job, step) = (step.job, step.step);
-            self.out.push(Action::Note(Note::WaitsForZone { job, step }));
+            self.out.push(Action::Log(LogEntry::WaitsForZone { job, step }));
         }
     }
 
@@ -208,14 +216,14 @@
 
 /// Returns whether a run must leave an evacuated zone: it is long-running, or it saves its progress
 /// and has long to go.
-fn must_move(run: &RunThere, now: Time) -> bool {
+fn must_move(run: &PlacedRun, now: Time) -> bool {
     let is_active = !run.stopping && run.is_running();
     let is_long = left_ms(run, now).is_some_and(|left_ms| left_ms > MIN_REMAINING_TO_MOVE_MS);
     is_active && (run.lasts || (run.keeps_progress && is_long))
 }
 
 /// Returns whether a worker could run a task if it ran nothing else.
-fn could_run(life: &Life, service: &str, spec: &StepSpec) -> bool {
-    let labelled = spec.label.as_ref().is_none_or(|label| life.entry.labels.contains(label));
-    life.entry.service == service && labelled && spec.size.fits_in(&life.entry.capacity)
+fn could_run(instance: &WorkerInstance, service: &str, spec: &StepSpec) -> bool {
+    let labelled = spec.label.as_ref().is_none_or(|label| instance.entry.labels.contains(label));
+    instance.entry.service == service && labelled && spec.size.fits_in(&instance.entry.capacity)
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/fit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/fit.rs
@@ -4,14 +4,14 @@
 
 use super::{
     super::{
-        life::{Life, LifeNo},
+        instance::{InstanceNo, WorkerInstance},
         names::TaskName,
-        run::RunThere,
+        run::PlacedRun,
         spec::StepSpec,
     },
+    free_capacity::{Room, added, capacity_millis, full_loads},
     lateness::Lateness,
     pace::OWN_STRESS_RISE,
-    room::{Room, added, capacity_millis, full_loads},
     short_work::ShortWork,
     tails::{ImageNo, TailModel},
 };
@@ -60,11 +60,11 @@
     pub(super) service: &'a str,
     pub(super) image: ImageNo,
     /// The workers chosen for other members of its gang in this pass.
-    pub(super) members: &'a [LifeNo],
+    pub(super) members: &'a [InstanceNo],
     /// The rack of these workers.
     pub(super) rack: Option<&'a str>,
     /// The worker on which the task failed or was slow.
-    pub(super) avoid: Option<LifeNo>,
+    pub(super) avoid: Option<InstanceNo>,
     pub(super) now: Time,
     /// Whether the task is suspected of crashing workers and must run alone.
     pub(super) runs_alone: bool,
@@ -77,13 +77,19 @@
 impl Fit<'_> {
     /// Returns how well a worker suits the task, where lower is better, or `None` if it can't run
     /// it.
-    pub(super) fn score(&self, worker_no: LifeNo, life: &Life, room: &Room) -> Option<f64> {
+    pub(super) fn score(
+        &self,
+        instance_no: InstanceNo,
+        instance: &WorkerInstance,
+        room: &Room,
+    ) -> Option<f64> {
         let spec = self.spec;
-        let has_label = spec.label.as_ref().is_none_or(|label| life.entry.labels.contains(label));
-        if !has_label || !self.has_room(worker_no, life, room) {
+        let has_label =
+            spec.label.as_ref().is_none_or(|label| instance.entry.labels.contains(label));
+        if !has_label || !self.has_room(instance_no, instance, room) {
             return None;
         }
-        let interference = self.interference(life, room)?;
+        let interference = self.interference(instance, room)?;
         let fullness = match (spec.fills, spec.lasts) {
             (true, _) => 1.0 - room.best_effort_share,
             // Long-running tasks are packed, so that room for large tasks is not fragmented. So are
@@ -93,11 +99,13 @@
             (false, false) if self.short_work.is_packed() => room.free_share,
             (false, false) => 1.0 - room.free_share,
         };
-        let is_far = spec.near_rack.as_ref().is_some_and(|near| !life.entry.labels.contains(near));
-        let splits_gang = spec.same_rack && self.rack.is_some_and(|rack| rack != life.entry.rack);
+        let is_far =
+            spec.near_rack.as_ref().is_some_and(|near| !instance.entry.labels.contains(near));
+        let splits_gang =
+            spec.same_rack && self.rack.is_some_and(|rack| rack != instance.entry.rack);
         let remote_cost = if is_far || splits_gang { REMOTE_WEIGHT } else { 0.0 };
-        let failed_run_cost = if self.avoid == Some(worker_no) { FAILED_RUN_WEIGHT } else { 0.0 };
-        let suspect_cost = if self.runs_alone { crash_cost(life, self.now) } else { 0.0 };
+        let failed_run_cost = if self.avoid == Some(instance_no) { FAILED_RUN_WEIGHT } else { 0.0 };
+        let suspect_cost = if self.runs_alone { crash_cost(instance, self.now) } else { 0.0 };
         Some(
             FULLNESS_WEIGHT * fullness
                 + INTERFERENCE_WEIGHT * interference
@@ -109,13 +117,13 @@
 
     /// Returns the interference between the task and the tasks on the worker, or `None` if it is so
     /// high that the task should wait instead.
-    fn interference(&self, life: &Life, room: &Room) -> Option<f64> {
+    fn interference(&self, instance: &WorkerInstance, room: &Room) -> Option<f64> {
         let spec = self.spec;
-        let load = f64::from(spec.size.cpu_millis.0) / capacity_millis(life);
+        let load = f64::from(spec.size.cpu_millis.0) / capacity_millis(instance);
         match (spec.fills, spec.tail_target_ms.is_some()) {
             (true, _) => {
                 let min_pace = if spec.keeps_progress { MIN_PACE } else { MIN_PACE_IMMOVABLE };
-                let headroom = room.headroom(life, self.tails);
+                let headroom = room.headroom(instance, self.tails);
                 let pace =
                     |stress_rise| headroom.expected_pace(self.tails, self.image, load, stress_rise);
                 if pace(0.0) < min_pace {
@@ -127,9 +135,9 @@
                 is_acceptable.then_some(slowed + penalty + SCARCITY_WEIGHT * headroom.tolerance)
             }
             (_, true) => {
-                let stress = added(self.tails, &full_loads(life), self.image).min(1.0);
+                let stress = added(self.tails, &full_loads(instance), self.image).min(1.0);
                 let serves_only_others =
-                    room.headroom(life, self.tails).serves_only_other_images(self.image);
+                    room.headroom(instance, self.tails).serves_only_other_images(self.image);
                 Some(stress + if serves_only_others { OTHER_IMAGE_WEIGHT } else { 0.0 })
             }
             _ => Some(0.0),
@@ -138,34 +146,34 @@
 
     /// Returns whether a worker with room for the task still has it once the gang members chosen
     /// for it are started.
-    fn has_room(&self, worker_no: LifeNo, life: &Life, room: &Room) -> bool {
-        if life.runs().contains_key(&self.name) || room.has_lone_suspect {
+    fn has_room(&self, instance_no: InstanceNo, instance: &WorkerInstance, room: &Room) -> bool {
+        if instance.runs().contains_key(&self.name) || room.has_lone_suspect {
             return false;
         }
         let members_on_worker =
-            self.members.iter().filter(|&&member| member == worker_no).count() as u32;
+            self.members.iter().filter(|&&member| member == instance_no).count() as u32;
         if self.runs_alone && members_on_worker > 0 {
             return false;
         }
-        !self.is_at_step_limit(life, members_on_worker)
+        !self.is_at_step_limit(instance, members_on_worker)
             && room.left.fits_beside(self.spec, members_on_worker)
     }
 
     /// Returns whether a worker already runs as many tasks of the step as `max_per_worker` allows.
-    fn is_at_step_limit(&self, life: &Life, members_on_worker: u32) -> bool {
+    fn is_at_step_limit(&self, instance: &WorkerInstance, members_on_worker: u32) -> bool {
         let Some(max_tasks) = self.spec.max_per_worker else { return false };
         let same_step = |other: &&TaskName| other.step_name() == self.name.step_name();
-        let step_tasks = life.runs().keys().filter(same_step).count() as u32;
+        let step_tasks = instance.runs().keys().filter(same_step).count() as u32;
         step_tasks + members_on_worker >= max_tasks
     }
 }
 
 /// Returns the cost of placing a task suspected of crashing workers on a worker.
-fn crash_cost(life: &Life, now: Time) -> f64 {
-    let silent_for = life.heard_at.map_or(Duration::ZERO, |heard_at| now.since(heard_at));
+fn crash_cost(instance: &WorkerInstance, now: Time) -> f64 {
+    let silent_for = instance.heard_at.map_or(Duration::ZERO, |heard_at| now.since(heard_at));
     let silence_cost = SILENCE_WEIGHT_PER_S * silent_for.as_secs_f64();
-    let recent_crash_cost = if life.fell_of_late { RECENT_CRASH_WEIGHT } else { 0.0 };
+    let recent_crash_cost = if instance.fell_of_late { RECENT_CRASH_WEIGHT } else { 0.0 };
     let weight =
-        |run: &RunThere| if run.lasts { LOST_LONG_RUNNING_WEIGHT } else { LOST_RUN_WEIGHT };
-    recent_crash_cost + silence_cost + life.runs().values().map(weight).sum::<f64>()
+        |run: &PlacedRun| if run.lasts { LOST_LONG_RUNNING_WEIGHT } else { LOST_RUN_WEIGHT };
+    recent_crash_cost + silence_cost + instance.runs().values().map(weight).sum::<f64>()
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/room.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/free_capacity.rs
@@ -3,7 +3,7 @@
 use std::cell::OnceCell;
 
 use super::{
-    super::{life::Life, run::RunThere, spec::StepSpec},
+    super::{instance::WorkerInstance, run::PlacedRun, spec::StepSpec},
     headroom::Headroom,
     tails::{ImageNo, Load, TailModel},
 };
@@ -76,9 +76,9 @@
 }
 
 impl Room {
-    pub(super) fn of(life: &Life) -> Self {
-        let Usage { reserved, used_millis, best_effort_millis, short_tasks } = Usage::of(life);
-        let capacity = life.entry.capacity;
+    pub(super) fn of(instance: &WorkerInstance) -> Self {
+        let Usage { reserved, used_millis, best_effort_millis, short_tasks } = Usage::of(instance);
+        let capacity = instance.entry.capacity;
         let cpu = capacity.cpu_millis.0;
         let free = subtract(&capacity, &reserved);
         let max_committed = cpu / 100 * MAX_COMMITTED_PERCENT;
@@ -87,7 +87,7 @@
         let share = |left: u32| f64::from(left) / f64::from(cpu.max(1));
         Self {
             left: Remaining { free, best_effort_millis_left },
-            has_lone_suspect: life.runs().values().any(|run| run.alone),
+            has_lone_suspect: instance.runs().values().any(|run| run.alone),
             short_tasks,
             free_share: share(free.cpu_millis.0),
             best_effort_share: share(best_effort_millis_left),
@@ -95,9 +95,9 @@
         }
     }
 
-    /// Returns the headroom of the serving tasks on `life`, the worker that this room belongs to.
-    pub(super) fn headroom(&self, life: &Life, tails: &TailModel) -> &Headroom {
-        self.headroom.get_or_init(|| Headroom::of(life, tails))
+    /// Returns the headroom of the serving tasks on `instance`, the worker that this room belongs to.
+    pub(super) fn headroom(&self, instance: &WorkerInstance, tails: &TailModel) -> &Headroom {
+        self.headroom.get_or_init(|| Headroom::of(instance, tails))
     }
 }
 
@@ -115,9 +115,9 @@
 }
 
 impl Usage {
-    fn of(life: &Life) -> Self {
+    fn of(instance: &WorkerInstance) -> Self {
         let mut usage = Self::default();
-        for run in life.runs().values() {
+        for run in instance.runs().values() {
             let cpu_millis = run.size.cpu_millis.0;
             let reserved_millis = if run.fills { 0 } else { cpu_millis };
             usage.best_effort_millis += cpu_millis - reserved_millis;
@@ -132,13 +132,13 @@
 
 /// Returns whether the runs on a worker, including those being started or stopped, reserve more
 /// than it has.
-pub(super) fn is_overcommitted(life: &Life) -> bool {
-    !Usage::of(life).reserved.fits_in(&life.entry.capacity)
+pub(super) fn is_overcommitted(instance: &WorkerInstance) -> bool {
+    !Usage::of(instance).reserved.fits_in(&instance.entry.capacity)
 }
 
 /// Returns the processor time that a run uses of its reservation, in thousandths of a core: the own
 /// load of a serving task, and all of it for any other.
-fn used_millis(run: &RunThere) -> u32 {
+fn used_millis(run: &PlacedRun) -> u32 {
     let share = if run.serves() { run.own_stress.mean.min(1.0) } else { 1.0 };
     (f64::from(run.size.cpu_millis.0) * share) as u32
 }
@@ -155,15 +155,15 @@
 }
 
 /// Returns the load of the best-effort tasks on a worker at full speed, by image.
-pub(super) fn full_loads(life: &Life) -> Vec<Load> {
-    loads_by(life, |run| f64::from(run.size.cpu_millis.0))
+pub(super) fn full_loads(instance: &WorkerInstance) -> Vec<Load> {
+    loads_by(instance, |run| f64::from(run.size.cpu_millis.0))
 }
 
 /// Returns the load of the best-effort tasks on a worker, by image, as a share of its capacity.
-pub(super) fn loads_by(life: &Life, millis: impl Fn(&RunThere) -> f64) -> Vec<Load> {
-    let capacity = capacity_millis(life);
+pub(super) fn loads_by(instance: &WorkerInstance, millis: impl Fn(&PlacedRun) -> f64) -> Vec<Load> {
+    let capacity = capacity_millis(instance);
     let mut loads = Vec::<Load>::new();
-    for run in life.runs().values().filter(|run| run.fills) {
+    for run in instance.runs().values().filter(|run| run.fills) {
         let load = millis(run) / capacity;
         match loads.iter_mut().find(|(image, _)| *image == run.image) {
             Some((_, sum)) => *sum += load,
@@ -185,6 +185,6 @@
 }
 
 /// Returns the processor time of a worker, in thousandths of a core.
-pub(super) fn capacity_millis(life: &Life) -> f64 {
-    f64::from(life.entry.capacity.cpu_millis.0.max(1))
+pub(super) fn capacity_millis(instance: &WorkerInstance) -> f64 {
+    f64::from(instance.entry.capacity.cpu_millis.0.max(1))
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/gauges.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/gauges.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::{
-    super::life::Life,
-    room::{capacity_millis, loads_by},
+    super::instance::WorkerInstance,
+    free_capacity::{capacity_millis, loads_by},
     tails::{Load, Tail, TailModel},
 };
 use crate::Time;
@@ -13,10 +13,10 @@
 const GAUGE_WINDOW: Duration = Duration::from_millis(500);
 
 /// Updates the interference model from a worker's latest report.
-pub(super) fn learn(tails: &mut TailModel, life: &mut Life, now: Time) {
-    let loads = loads_in_window(life, now);
-    life.room = None;
-    for (_, run) in life.runs_mut() {
+pub(super) fn learn(tails: &mut TailModel, instance: &mut WorkerInstance, now: Time) {
+    let loads = loads_in_window(instance, now);
+    instance.room = None;
+    for (_, run) in instance.runs_mut() {
         let (Some(tail_ms), Some(target_ms)) = (run.gauge, run.tail_target_ms) else { continue };
         if tail_ms == 0 {
             continue;
@@ -32,11 +32,11 @@
 }
 
 /// Returns the CPU load of batch tasks during the gauge window, by image.
-fn loads_in_window(life: &mut Life, now: Time) -> Vec<Load> {
-    life.just_ended.retain(|ended| now.since(ended.at) < GAUGE_WINDOW);
-    let mut loads = loads_by(life, |run| f64::from(run.gauge.unwrap_or(0)));
-    let capacity = capacity_millis(life);
-    for ended in &life.just_ended {
+fn loads_in_window(instance: &mut WorkerInstance, now: Time) -> Vec<Load> {
+    instance.just_ended.retain(|ended| now.since(ended.at) < GAUGE_WINDOW);
+    let mut loads = loads_by(instance, |run| f64::from(run.gauge.unwrap_or(0)));
+    let capacity = capacity_millis(instance);
+    for ended in &instance.just_ended {
         let share = 1.0 - now.since(ended.at).as_secs_f64() / GAUGE_WINDOW.as_secs_f64();
         let load = f64::from(ended.cpu_millis) * share / capacity;
         match loads.iter_mut().find(|(known_image, _)| *known_image == ended.image) {
--- a/crates/kitetrail-core/src/jobs/scheduler/headroom.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/headroom.rs
@@ -1,9 +1,9 @@
 //! Computes how much interference from best-effort tasks the serving tasks on a worker can take.
 
 use super::{
-    super::{life::Life, run::RunThere},
+    super::{instance::WorkerInstance, run::PlacedRun},
+    free_capacity::{NEGLIGIBLE_EFFECT, added, full_loads},
     pace::TARGET_SHARE,
-    room::{NEGLIGIBLE_EFFECT, added, full_loads},
     tails::{ImageNo, TailModel},
 };
 
@@ -46,11 +46,11 @@
 }
 
 impl Headroom {
-    pub(super) fn of(life: &Life, tails: &TailModel) -> Self {
-        let serving_by_image = serving_by_image(life, tails);
+    pub(super) fn of(instance: &WorkerInstance, tails: &TailModel) -> Self {
+        let serving_by_image = serving_by_image(instance, tails);
         let images = serving_by_image.iter().map(|serving| serving.image).collect::<Vec<_>>();
         let tolerance = tails.tolerance(&images, NEGLIGIBLE_EFFECT);
-        Self { task_margins: task_margins(life, tails), tolerance, serving_by_image }
+        Self { task_margins: task_margins(instance, tails), tolerance, serving_by_image }
     }
 
     /// Returns the share of its full speed at which a best-effort task would run, 0 to 1, if the
@@ -97,9 +97,9 @@
     excess * excess
 }
 
-fn task_margins(life: &Life, tails: &TailModel) -> Vec<Margin> {
-    let loads = full_loads(life);
-    let margin = |run: &RunThere| {
+fn task_margins(instance: &WorkerInstance, tails: &TailModel) -> Vec<Margin> {
+    let loads = full_loads(instance);
+    let margin = |run: &PlacedRun| {
         let added = loads
             .iter()
             .map(|&(best_effort_image, load)| tails.effect(best_effort_image, run.image) * load);
@@ -108,13 +108,13 @@
         let stress = stress_at_target - run.own_stress.mean - added.sum::<f64>();
         Margin { image: run.image, stress, penalty: penalty(stress) }
     };
-    life.runs().values().filter(|run| run.serves()).map(margin).collect()
+    instance.runs().values().filter(|run| run.serves()).map(margin).collect()
 }
 
-fn serving_by_image(life: &Life, tails: &TailModel) -> Vec<ServingTasks> {
-    let loads = full_loads(life);
+fn serving_by_image(instance: &WorkerInstance, tails: &TailModel) -> Vec<ServingTasks> {
+    let loads = full_loads(instance);
     let mut serving_by_image = Vec::<ServingTasks>::new();
-    for run in life.runs().values().filter(|run| run.serves()) {
+    for run in instance.runs().values().filter(|run| run.serves()) {
         let target_ms = run.tail_target_ms.unwrap_or(1) as f64;
         let spare_stress =
             tails.stress_at(run.image, target_ms, TARGET_SHARE) - run.own_stress.mean;
--- a/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
@@ -17,9 +17,9 @@
 use super::{
     super::{
         event::Action,
-        life::{LifeEnd, LifeNo, Listing},
-        names::{Incarnation, LifeId},
-        note::Note,
+        instance::{InstanceEnd, InstanceNo, Listing},
+        log_entry::LogEntry,
+        names::{Incarnation, WorkerName},
         report::Report,
         run::Phase,
         steps::Placement,
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReportSource {
     /// The incarnation that was asked.
-    ThisLife,
+    ThisInstance,
     /// Another incarnation of the same worker.
     Another(Incarnation),
     /// An earlier incarnation; the one that was asked has answered since the request was sent.
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Executor {
     /// The incarnation that the order was sent to.
-    ThisLife,
+    ThisInstance,
     /// Another incarnation of the same worker.
     Another(Incarnation),
     /// Unknown: the answer does not identify its incarnation, and either its clock differs or more
@@ -59,35 +59,45 @@
     ///
     /// An entry that does not identify its incarnation is attributed to the one that was listed
     /// last.
-    pub(super) fn find_life_for_entry(&self, entry: &WorkerEntry) -> Option<LifeNo> {
-        let lives = self.lives.of_worker(&entry.id);
+    pub(super) fn find_instance_for_entry(&self, entry: &WorkerEntry) -> Option<InstanceNo> {
+        let instances = self.instances.of_worker(&entry.id);
         match entry.incarnation {
-            Some(_) => self.find_life(&entry.id, entry.incarnation),
-            None => lives.last().copied(),
+            Some(_) => self.find_instance(&entry.id, entry.incarnation),
+            None => instances.last().copied(),
         }
     }
 
-    fn find_life(&self, id: &LifeId, incarnation: Option<Incarnation>) -> Option<LifeNo> {
-        let matches_incarnation = |life_no: LifeNo| {
-            self.lives.get(life_no).is_some_and(|life| life.entry.incarnation == incarnation)
+    fn find_instance(
+        &self,
+        id: &WorkerName,
+        incarnation: Option<Incarnation>,
+    ) -> Option<InstanceNo> {
+        let matches_incarnation = |instance_no: InstanceNo| {
+            self.instances
+                .get(instance_no)
+                .is_some_and(|instance| instance.entry.incarnation == incarnation)
         };
-        self.lives.of_worker(id).iter().copied().find(|&life_no| matches_incarnation(life_no))
+        self.instances
+            .of_worker(id)
+            .iter()
+            .copied()
+            .find(|&instance_no| matches_incarnation(instance_no))
     }
 
     /// Returns the source of the answer to a hold that was sent to an incarnation at a given time.
     pub(super) fn report_source(
         &self,
-        life_no: LifeNo,
+        instance_no: InstanceNo,
         sent_at: Time,
         report: &Report,
     ) -> ReportSource {
-        let Some(life) = self.lives.get(life_no) else { return ReportSource::Unknown };
-        let is_last = self.lives.of_worker(life.id()).last() == Some(&life_no);
-        let answered_since = life.heard_at.is_some_and(|heard_at| heard_at >= sent_at);
+        let Some(instance) = self.instances.get(instance_no) else { return ReportSource::Unknown };
+        let is_last = self.instances.of_worker(instance.id()).last() == Some(&instance_no);
+        let answered_since = instance.heard_at.is_some_and(|heard_at| heard_at >= sent_at);
         match report.incarnation {
-            None if life.contested && !is_last => ReportSource::Unknown,
-            None => ReportSource::ThisLife,
-            reported if reported == life.entry.incarnation => ReportSource::ThisLife,
+            None if instance.contested && !is_last => ReportSource::Unknown,
+            None => ReportSource::ThisInstance,
+            reported if reported == instance.entry.incarnation => ReportSource::ThisInstance,
             Some(_) if answered_since => ReportSource::Earlier,
             Some(incarnation) => ReportSource::Another(incarnation),
         }
@@ -100,40 +110,40 @@
     /// with each one.
     pub(super) fn executor_of(
         &mut self,
-        life_no: LifeNo,
+        instance_no: InstanceNo,
         clock_ms: u64,
         incarnation: Option<Incarnation>,
         sent_at: Time,
     ) -> Executor {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(life_no) else { return Executor::Unknown };
-        let agrees = !life.contested && life.clock_agrees(clock_ms, sent_at, now);
+        let Some(instance) = self.instances.get_mut(instance_no) else { return Executor::Unknown };
+        let agrees = !instance.contested && instance.clock_agrees(clock_ms, sent_at, now);
         match incarnation {
-            Some(other) if Some(other) != life.entry.incarnation => {
+            Some(other) if Some(other) != instance.entry.incarnation => {
                 return Executor::Another(other);
             }
             None if !agrees => {
                 // The hold in flight may acknowledge ends to the later incarnation that were never
                 // received. A hold with a higher token is sent now, to arrive first if possible.
-                life.hold_sent = false;
-                self.log_worker_state(life_no, "asked anew: its clock is another one");
+                instance.hold_sent = false;
+                self.log_worker_state(instance_no, "asked anew: its clock is another one");
                 return Executor::Unknown;
             }
             Some(_) | None => {}
         }
-        life.note_heard(clock_ms, sent_at, now);
-        self.resume_leasing(life_no);
-        Executor::ThisLife
+        instance.note_heard(clock_ms, sent_at, now);
+        self.resume_leasing(instance_no);
+        Executor::ThisInstance
     }
 
     /// Handles an answer from a different incarnation than the one that was asked.
     pub(super) fn handle_other_incarnation(
         &mut self,
-        life_no: LifeNo,
+        instance_no: InstanceNo,
         incarnation: Incarnation,
         sent_at: Time,
     ) {
-        let Some(life) = self.lives.get(life_no) else { return };
+        let Some(instance) = self.instances.get(instance_no) else { return };
         // Only its address is known. It may offer other resources than the previous incarnation,
         // and is not leaving just because that one was. It gets no work until its own entry is
         // read.
@@ -141,21 +151,23 @@
             incarnation: Some(incarnation),
             draining: false,
             remaining_ms: None,
-            ..(*life.entry).clone()
+            ..(*instance.entry).clone()
         };
-        let precedes = life.precedes(sent_at);
-        match self.find_life_for_entry(&entry) {
-            Some(other) if precedes && self.lives.get(other).is_some_and(|other| other.known) => {
-                self.log_worker_restart(life_no, other);
-                self.end_life(life_no, LifeEnd::StartedAgain);
+        let precedes = instance.precedes(sent_at);
+        match self.find_instance_for_entry(&entry) {
+            Some(other)
+                if precedes && self.instances.get(other).is_some_and(|other| other.known) =>
+            {
+                self.log_worker_restart(instance_no, other);
+                self.end_instance(instance_no, InstanceEnd::StartedAgain);
             }
             Some(other) => self.send_hold_now(other),
             None => {
-                let other = self.insert_life(entry, self.now);
-                if let Some(life) = self.lives.get_mut(other) {
-                    life.listing = Listing::Unread;
+                let other = self.insert_instance(entry, self.now);
+                if let Some(instance) = self.instances.get_mut(other) {
+                    instance.listing = Listing::Unread;
                 }
-                self.pending.add_life(other);
+                self.pending.add_instance(other);
                 self.mark_contested(other);
             }
         }
@@ -163,98 +175,108 @@
 
     /// Marks the incarnations of a worker as contested if a new one joins others. Answers must show
     /// which of them are over.
-    pub(super) fn mark_contested(&mut self, life_no: LifeNo) {
-        let Some(life) = self.lives.get(life_no) else { return };
-        let lives = self.lives.of_worker(&life.id().clone()).to_vec();
-        if lives.len() < 2 {
+    pub(super) fn mark_contested(&mut self, instance_no: InstanceNo) {
+        let Some(instance) = self.instances.get(instance_no) else { return };
+        let instances = self.instances.of_worker(&instance.id().clone()).to_vec();
+        if instances.len() < 2 {
             return;
         }
-        self.raise_shared_token(life_no);
+        self.raise_shared_token(instance_no);
         // An order or hold with a lease time of the old clock may have reached the new incarnation.
         // Such a lease lasts at most as long as the longest lease that workers grant.
         let leased_until = self.now + self.longest_lease_expiry_delay();
-        if let Some(life) = self.lives.get_mut(life_no) {
-            life.lapses_at = life.lapses_at.max(leased_until);
+        if let Some(instance) = self.instances.get_mut(instance_no) {
+            instance.lapses_at = instance.lapses_at.max(leased_until);
         }
-        for life in lives {
-            if let Some(life) = self.lives.get_mut(life) {
-                life.contested = true;
+        for instance in instances {
+            if let Some(instance) = self.instances.get_mut(instance) {
+                instance.contested = true;
             }
-            self.log_worker_state(life, "contested: another incarnation with its id was reported");
-            self.send_hold_now(life);
+            self.log_worker_state(
+                instance,
+                "contested: another incarnation with its id was reported",
+            );
+            self.send_hold_now(instance);
         }
     }
 
     /// Sends a hold to a worker at once, unless one is in flight or the worker is silent.
-    fn send_hold_now(&mut self, life_no: LifeNo) {
-        if self.lives.get(life_no).is_some_and(|life| life.silent == 0) {
-            self.schedule_hold_within(life_no, Duration::ZERO);
-            self.send_hold_if_due(life_no);
+    fn send_hold_now(&mut self, instance_no: InstanceNo) {
+        if self.instances.get(instance_no).is_some_and(|instance| instance.silent == 0) {
+            self.schedule_hold_within(instance_no, Duration::ZERO);
+            self.send_hold_if_due(instance_no);
         }
     }
 
     /// Ends the contested state of a worker once a single incarnation is left.
-    pub(super) fn resolve_contest(&mut self, id: &LifeId) {
-        let [life_no] = *self.lives.of_worker(id) else { return };
-        let Some(life) = self.lives.get_mut(life_no).filter(|life| life.contested) else { return };
-        life.contested = false;
+    pub(super) fn resolve_contest(&mut self, id: &WorkerName) {
+        let [instance_no] = *self.instances.of_worker(id) else { return };
+        let Some(instance) =
+            self.instances.get_mut(instance_no).filter(|instance| instance.contested)
+        else {
+            return;
+        };
+        instance.contested = false;
         self.placement_needed = true;
-        self.send_next_order(life_no);
+        self.send_next_order(instance_no);
     }
 
     /// Raises the fencing token of all incarnations of a worker above every token sent there.
     /// Whichever is alive refuses everything sent before.
-    pub(super) fn raise_shared_token(&mut self, life_no: LifeNo) {
-        let Some(life) = self.lives.get(life_no) else { return };
-        let lives = self.lives.of_worker(&life.id().clone()).to_vec();
-        let tokens =
-            lives.iter().filter_map(|&life_no| self.lives.get(life_no)).map(|life| life.token);
+    pub(super) fn raise_shared_token(&mut self, instance_no: InstanceNo) {
+        let Some(instance) = self.instances.get(instance_no) else { return };
+        let instances = self.instances.of_worker(&instance.id().clone()).to_vec();
+        let tokens = instances
+            .iter()
+            .filter_map(|&instance_no| self.instances.get(instance_no))
+            .map(|instance| instance.token);
         let Some(highest) = tokens.max() else { return };
-        for life_no in lives {
-            if let Some(life) = self.lives.get_mut(life_no) {
-                life.token = highest + 1;
+        for instance_no in instances {
+            if let Some(instance) = self.instances.get_mut(instance_no) {
+                instance.token = highest + 1;
             }
         }
     }
 
     /// Transfers runs that were ordered from one incarnation and are reported by its successor,
     /// which received the order. All other runs were lost with the earlier incarnation.
-    pub(super) fn transfer_runs(&mut self, before: LifeNo, after: LifeNo, report: &Report) {
+    pub(super) fn transfer_runs(&mut self, before: InstanceNo, after: InstanceNo, report: &Report) {
         let now = self.now;
         let running = report.running.iter().map(|reported| (reported.task, reported.run));
         let ended = report.ended.iter().map(|reported| (reported.task, reported.run));
         for (task, run) in running.chain(ended) {
-            let life = self.lives.get_mut(before);
-            let Some(mut run_state) = life.and_then(|life| life.remove_run(task, run)) else {
+            let instance = self.instances.get_mut(before);
+            let Some(mut run_state) = instance.and_then(|instance| instance.remove_run(task, run))
+            else {
                 continue;
             };
             run_state.phase = Phase::Running(now);
-            if let Some(life) = self.lives.get_mut(after) {
-                life.insert_run(task, run_state);
+            if let Some(instance) = self.instances.get_mut(after) {
+                instance.insert_run(task, run_state);
             }
             let placed = self.task_mut(task).into_iter().flat_map(|task| &mut task.placed);
             for placement in
-                placed.filter(|placed_run| **placed_run == Placement { life: before, run })
+                placed.filter(|placed_run| **placed_run == Placement { instance: before, run })
             {
-                placement.life = after;
+                placement.instance = after;
             }
         }
-        if let Some(life) = self.lives.get_mut(after) {
-            life.fell_of_late = true;
+        if let Some(instance) = self.instances.get_mut(after) {
+            instance.fell_of_late = true;
         }
     }
 
     /// Logs that a worker has restarted under the same id.
-    pub(super) fn log_worker_restart(&mut self, before: LifeNo, after: LifeNo) {
-        let Some(life) = self.lives.get(before) else { return };
-        if !life.known && !self.unheard.contains(&before) {
+    pub(super) fn log_worker_restart(&mut self, before: InstanceNo, after: InstanceNo) {
+        let Some(instance) = self.instances.get(before) else { return };
+        if !instance.known && !self.unheard.contains(&before) {
             // The incarnation came from a late entry.
             return;
         }
-        let now = self.lives.get(after).and_then(|life| life.entry.incarnation);
-        let (worker, ends_seen) = (life.id().clone(), life.ends_seen);
-        let (before, runs) = (life.entry.incarnation, life.runs().len() as u32);
-        let note = Note::WorkerRestarted { worker, before, now, ends_seen, runs };
-        self.out.push(Action::Note(note));
+        let now = self.instances.get(after).and_then(|instance| instance.entry.incarnation);
+        let (worker, ends_seen) = (instance.id().clone(), instance.ends_seen);
+        let (before, runs) = (instance.entry.incarnation, instance.runs().len() as u32);
+        let entry = LogEntry::WorkerRestarted { worker, before, now, ends_seen, runs };
+        self.out.push(Action::Log(entry));
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/inherit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/inherit.rs
@@ -4,10 +4,10 @@
 
 use super::{
     super::{
+        instance::{Leasing, Listing},
         job::Job,
-        life::{Leasing, Listing},
-        names::{LifeKey, TaskName},
-        record::{EffectsRecord, JobRecord, LifeRecord, Outcome, ProgressRecord},
+        names::{InstanceKey, TaskName},
+        record::{EffectsRecord, InstanceRecord, JobRecord, Outcome, ProgressRecord},
         worker_entry::WorkerEntry,
     },
     Scheduler,
@@ -28,7 +28,7 @@
     /// specification is ignored.
     pub ended: Vec<ProgressRecord>,
     /// Worker incarnations on which tasks may be running.
-    pub lives: Vec<LifeRecord>,
+    pub instances: Vec<InstanceRecord>,
     /// The learned interference between images.
     pub effects: EffectsRecord,
     /// How long earlier owners may continue to renew leases.
@@ -58,7 +58,7 @@
         }
         let own_expiry = self.now + self.lease_expiry_delay();
         let mut recorded_starts = self.recorded_starts_by_worker();
-        for record in inheritance.lives {
+        for record in inheritance.instances {
             let starts_here = recorded_starts.remove(&record.key()).unwrap_or_default();
             // This includes workers that are not listed: their entries expire while they are cut
             // off together with an owner.
@@ -66,7 +66,7 @@
                 true => Duration::ZERO,
                 false => inheritance.leases_renewed_for,
             };
-            self.add_inherited_life(record, starts_here, own_expiry + renewed_for);
+            self.add_inherited_instance(record, starts_here, own_expiry + renewed_for);
         }
         // The incarnations of these workers are over, and no end of these runs was persisted.
         for (worker, tasks) in recorded_starts {
@@ -80,27 +80,29 @@
     /// Handles the news that no earlier owner has renewed leases since a given time.
     pub(super) fn handle_earlier_owners_stopped(&mut self, stopped_at: Time) {
         let expires_at = stopped_at + self.lease_expiry_delay();
-        for &life_no in &self.unheard {
-            if let Some(life) = self.lives.get_mut(life_no).filter(|life| !life.contested) {
-                life.lapses_at = life.lapses_at.min(expires_at);
+        for &instance_no in &self.unheard {
+            if let Some(instance) =
+                self.instances.get_mut(instance_no).filter(|instance| !instance.contested)
+            {
+                instance.lapses_at = instance.lapses_at.min(expires_at);
             }
         }
     }
 
     /// Returns the tasks that the previous owner had recorded as about to start because they may
     /// crash their worker, by worker incarnation.
-    fn recorded_starts_by_worker(&self) -> BTreeMap<LifeKey, Vec<TaskName>> {
+    fn recorded_starts_by_worker(&self) -> BTreeMap<InstanceKey, Vec<TaskName>> {
         let mut by_worker = BTreeMap::<_, Vec<_>>::new();
         for (task, start) in self.jobs.values().flat_map(Job::begun_tasks) {
-            by_worker.entry(start.life()).or_default().push(task);
+            by_worker.entry(start.instance()).or_default().push(task);
         }
         by_worker
     }
 
     /// Adds a worker incarnation used by an earlier owner. Only its address is known.
-    fn add_inherited_life(
+    fn add_inherited_instance(
         &mut self,
-        record: LifeRecord,
+        record: InstanceRecord,
         begun_before: Vec<TaskName>,
         lapses_at: Time,
     ) {
@@ -118,14 +120,14 @@
             capacity: Resources::default(),
             labels: Vec::new(),
         };
-        let life_no = self.insert_life(entry, lapses_at);
-        if let Some(life) = self.lives.get_mut(life_no) {
-            life.listing = Listing::Unread;
-            life.recorded = true;
-            life.leasing = leasing;
-            life.begun_before = begun_before;
+        let instance_no = self.insert_instance(entry, lapses_at);
+        if let Some(instance) = self.instances.get_mut(instance_no) {
+            instance.listing = Listing::Unread;
+            instance.recorded = true;
+            instance.leasing = leasing;
+            instance.begun_before = begun_before;
         }
-        self.unheard.insert(life_no);
-        self.mark_contested(life_no);
+        self.unheard.insert(instance_no);
+        self.mark_contested(instance_no);
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/kept_starts.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/kept_starts.rs
@@ -10,7 +10,7 @@
 
 use super::{
     super::{
-        life::LifeNo,
+        instance::InstanceNo,
         names::JobId,
         order::{Order, StartOrder},
         run::Phase,
@@ -27,7 +27,7 @@
 /// A start order and the worker that it goes to.
 #[derive(Debug)]
 pub(super) struct KeptStart {
-    life: LifeNo,
+    instance: InstanceNo,
     order: StartOrder,
 }
 
@@ -43,20 +43,20 @@
 
 impl Scheduler {
     /// Defers a start order until it is persisted.
-    pub(super) fn order_once_kept(&mut self, life: LifeNo, order: StartOrder) {
+    pub(super) fn order_once_kept(&mut self, instance: InstanceNo, order: StartOrder) {
         let job = order.task.job;
-        self.kept_starts.waiting.entry(job).or_default().push(KeptStart { life, order });
+        self.kept_starts.waiting.entry(job).or_default().push(KeptStart { instance, order });
         self.pending.note_soon(job);
     }
 
     /// Sends the start orders that are now persisted, except those cancelled meanwhile.
     pub(super) fn send_persisted_starts(&mut self, starts: Vec<KeptStart>) {
-        for KeptStart { life: life_no, order } in starts {
-            let life = self.lives.get_mut(life_no);
-            let run = life.and_then(|life| life.run_mut(order.task, order.run));
+        for KeptStart { instance: instance_no, order } in starts {
+            let instance = self.instances.get_mut(instance_no);
+            let run = instance.and_then(|instance| instance.run_mut(order.task, order.run));
             let Some(run) = run.filter(|run| run.phase == Phase::Unkept) else { continue };
             run.phase = Phase::Ordered;
-            self.order(life_no, Order::Start(order));
+            self.order(instance_no, Order::Start(order));
         }
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/leasing.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/leasing.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use super::{
-    super::life::{Leasing, LifeNo},
+    super::instance::{InstanceNo, Leasing},
     Scheduler,
 };
 
@@ -21,45 +21,45 @@
 
 impl Scheduler {
     /// Stops granting leases on a worker that has been silent for a while, and persists that.
-    pub(super) fn stop_leasing_if_silent(&mut self, life_no: LifeNo) {
+    pub(super) fn stop_leasing_if_silent(&mut self, instance_no: InstanceNo) {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(life_no) else { return };
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
         let silent_too_long =
-            life.silent_since.is_some_and(|time| now.since(time) >= STOP_LEASING_AFTER);
-        let may_record = life.known && life.recorded && !life.contested;
-        if silent_too_long && may_record && life.leasing == Leasing::Allowed {
-            life.leasing = Leasing::Ended;
-            self.pending.rewrite_life(life_no);
+            instance.silent_since.is_some_and(|time| now.since(time) >= STOP_LEASING_AFTER);
+        let may_record = instance.known && instance.recorded && !instance.contested;
+        if silent_too_long && may_record && instance.leasing == Leasing::Allowed {
+            instance.leasing = Leasing::Ended;
+            self.pending.rewrite_instance(instance_no);
         }
     }
 
     /// Resumes granting leases on a worker that answered, once that is persisted.
-    pub(super) fn resume_leasing(&mut self, life_no: LifeNo) {
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        if life.leasing == Leasing::Ended {
-            life.leasing = Leasing::Resumed;
-            self.pending.add_life(life_no);
+    pub(super) fn resume_leasing(&mut self, instance_no: InstanceNo) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        if instance.leasing == Leasing::Ended {
+            instance.leasing = Leasing::Resumed;
+            self.pending.add_instance(instance_no);
         }
     }
 
     /// Records which leasing state was sent to the store for each incarnation.
-    pub(super) fn mark_lives_sent(&mut self, lives: &[LifeNo]) {
-        for &life_no in lives {
-            if let Some(life) = self.lives.get_mut(life_no) {
-                life.sent_not_leased = life.leasing == Leasing::Ended;
+    pub(super) fn mark_instances_sent(&mut self, instances: &[InstanceNo]) {
+        for &instance_no in instances {
+            if let Some(instance) = self.instances.get_mut(instance_no) {
+                instance.sent_not_leased = instance.leasing == Leasing::Ended;
             }
         }
     }
 
     /// Handles the confirmation that the row of an incarnation is persisted.
-    pub(super) fn mark_life_persisted(&mut self, life_no: LifeNo) {
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        life.recorded = true;
-        if !life.sent_not_leased && life.leasing == Leasing::Resumed {
-            life.leasing = Leasing::Allowed;
-            self.schedule_hold_within(life_no, Duration::ZERO);
-            self.send_hold_if_due(life_no);
-            self.send_next_order(life_no);
+    pub(super) fn mark_instance_persisted(&mut self, instance_no: InstanceNo) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        instance.recorded = true;
+        if !instance.sent_not_leased && instance.leasing == Leasing::Resumed {
+            instance.leasing = Leasing::Allowed;
+            self.schedule_hold_within(instance_no, Duration::ZERO);
+            self.send_hold_if_due(instance_no);
+            self.send_next_order(instance_no);
             self.placement_needed = true;
         }
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/mod.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/mod.rs
@@ -11,10 +11,9 @@
 mod evacuation;
 pub(super) mod filter;
 mod fit;
+pub(super) mod free_capacity;
 mod gauges;
 mod headroom;
-mod hear;
-mod holds;
 mod incarnations;
 mod inherit;
 mod kept_starts;
@@ -26,10 +25,11 @@
 mod pass;
 mod pending;
 mod place;
+mod poll_answers;
+mod polls;
+mod quarantine;
 mod ranking;
 mod requests;
-pub(super) mod room;
-mod set_aside;
 mod short_work;
 mod shrunk;
 mod slowed;
@@ -54,11 +54,11 @@
 };
 use super::{
     event::{Action, Event, JobState},
+    instance::InstanceNo,
+    instances::Instances,
     job::Job,
-    life::LifeNo,
-    lives::Lives,
-    names::{JobId, LifeId, QueueName, TaskName},
-    note::Note,
+    log_entry::LogEntry,
+    names::{JobId, QueueName, TaskName, WorkerName},
     record::Outcome,
     spec::{QueueTerms, StepSpec},
     steps::Task,
@@ -110,12 +110,12 @@
     /// The same jobs, ordered by end time.
     ended_by_time: BTreeSet<(u64, JobId)>,
     queues: BTreeMap<QueueName, QueueTerms>,
-    lives: Lives,
+    instances: Instances,
     /// Entries whose service no queue uses. Their workers are not contacted.
-    unused_service_entries: BTreeMap<LifeId, WorkerEntry>,
+    unused_service_entries: BTreeMap<WorkerName, WorkerEntry>,
     /// Worker incarnations used by an earlier owner that have neither answered nor outlasted their
     /// lease yet.
-    unheard: BTreeSet<LifeNo>,
+    unheard: BTreeSet<InstanceNo>,
     /// Whether one of those crashed. Tasks that may have been running there unnoticed are then
     /// possible causes.
     inherited_crashed: bool,
@@ -158,7 +158,7 @@
             ended_jobs: HashMap::new(),
             ended_by_time: BTreeSet::new(),
             queues: BTreeMap::new(),
-            lives: Lives::default(),
+            instances: Instances::default(),
             unused_service_entries: BTreeMap::new(),
             unheard: BTreeSet::new(),
             inherited_crashed: false,
@@ -191,14 +191,14 @@
             Event::Discovered(changes) => self.handle_discovery(changes),
             Event::EarlierOwnersStopped { at } => self.handle_earlier_owners_stopped(at),
             Event::StoreTrouble { until } => self.record_store_outage(until),
-            Event::OrderAnswered { life, order, answer } => {
-                self.handle_order_answer(life, order, answer)
+            Event::OrderAnswered { instance, order, answer } => {
+                self.handle_order_answer(instance, order, answer)
             }
-            Event::Held { life, hold, sent_at, answer } => {
-                self.handle_hold_answer(life, hold, sent_at, answer)
+            Event::Held { instance, hold, sent_at, answer } => {
+                self.handle_hold_answer(instance, hold, sent_at, answer)
             }
-            Event::LateEnds { life, incarnation, ended } => {
-                self.handle_late_ends(life, incarnation, &ended)
+            Event::LateEnds { instance, incarnation, ended } => {
+                self.handle_late_ends(instance, incarnation, &ended)
             }
             Event::Committed(batch) => self.handle_committed(batch),
             Event::Lagged(lag) => self.note_lag(lag),
@@ -242,7 +242,7 @@
     fn note_lag(&mut self, lag: Duration) {
         if let Some(takes_jobs) = self.overload.note_lag(lag, self.now) {
             let lag_ms = self.overload.lag().as_millis() as u64;
-            self.out.push(Action::Note(Note::Overload { takes_jobs, lag_ms }));
+            self.out.push(Action::Log(LogEntry::Overload { takes_jobs, lag_ms }));
         }
     }
 
@@ -281,18 +281,18 @@
     }
 
     /// Keeps the next placement of a task off a worker.
-    fn avoid(&mut self, name: TaskName, life_no: LifeNo) {
+    fn avoid(&mut self, name: TaskName, instance_no: InstanceNo) {
         if let Some(task) = self.task_mut(name) {
-            task.avoid = Some(life_no);
+            task.avoid = Some(instance_no);
         }
     }
 
     /// Logs the current assumption about a worker's state.
-    fn log_worker_state(&mut self, life_no: LifeNo, belief: &'static str) {
-        let Some(life) = self.lives.get(life_no) else { return };
-        let worker = life.id().clone();
-        let heard_ago_ms = life.heard_ago_ms(self.now);
-        self.out.push(Action::Note(Note::Worker { worker, belief, heard_ago_ms }));
+    fn log_worker_state(&mut self, instance_no: InstanceNo, belief: &'static str) {
+        let Some(instance) = self.instances.get(instance_no) else { return };
+        let worker = instance.id().clone();
+        let heard_ago_ms = instance.heard_ago_ms(self.now);
+        self.out.push(Action::Log(LogEntry::Worker { worker, belief, heard_ago_ms }));
     }
 
     /// Returns the fencing token that a worker incarnation starts with under this owner.
@@ -315,9 +315,9 @@
         self.refuse_unsent_jobs();
         self.start_due_occurrences();
         self.remove_expired_jobs();
-        let due = self.lives.iter().filter(|(_, life)| life.needs_check(self.now));
-        for life_no in due.map(|(life_no, _)| life_no).collect::<Vec<_>>() {
-            self.check_life(life_no);
+        let due = self.instances.iter().filter(|(_, instance)| instance.needs_check(self.now));
+        for instance_no in due.map(|(instance_no, _)| instance_no).collect::<Vec<_>>() {
+            self.check_instance(instance_no);
         }
         self.evacuate_zones_if_due();
         self.tell_backlog_if_due();
--- a/crates/kitetrail-core/src/jobs/scheduler/orders.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/orders.rs
@@ -5,9 +5,9 @@
 use super::{
     super::{
         event::Action,
-        life::{Leasing, LifeEnd, LifeNo, Listing, SentOrder},
+        instance::{InstanceEnd, InstanceNo, Leasing, Listing, SentOrder},
+        log_entry::LogEntry,
         names::TaskName,
-        note::Note,
         order::{Order, OrderAnswer, Refusal},
         run::{Phase, UNKNOWN_PACE_PERCENT},
         steps::Placement,
@@ -24,10 +24,10 @@
 
 impl Scheduler {
     /// Queues an order and sends it if no other order to the worker is in flight.
-    pub(super) fn order(&mut self, life_no: LifeNo, order: Order) {
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        life.orders.push_back(order);
-        self.send_next_order(life_no);
+    pub(super) fn order(&mut self, instance_no: InstanceNo, order: Order) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        instance.orders.push_back(order);
+        self.send_next_order(instance_no);
     }
 
     /// Queues an order ahead of all waiting starts, and sends it if no other order is in flight.
@@ -35,37 +35,37 @@
     /// Each order waits for the answer to the previous one, which takes twice the owner's lag when
     /// it is overloaded. Without priority, a halt queued behind 24 starts was sent after all of
     /// them, while the platform tolerates a tail latency above target for only 4 s.
-    pub(super) fn order_before_starts(&mut self, life_no: LifeNo, order: Order) {
-        let Some(life) = self.lives.get_mut(life_no) else { return };
+    pub(super) fn order_before_starts(&mut self, instance_no: InstanceNo, order: Order) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
         let is_start = |waiting: &Order| matches!(waiting, Order::Start(_));
-        let index = life.orders.iter().position(is_start).unwrap_or(life.orders.len());
-        life.orders.insert(index, order);
-        self.send_next_order(life_no);
+        let index = instance.orders.iter().position(is_start).unwrap_or(instance.orders.len());
+        instance.orders.insert(index, order);
+        self.send_next_order(instance_no);
     }
 
     /// Stops a run, or cancels its start order if that has not been sent.
-    pub(super) fn stop_run(&mut self, life_no: LifeNo, task: TaskName, run: u32) {
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        if !life.runs().get(&task).is_some_and(|state| state.run == run && !state.stopping) {
+    pub(super) fn stop_run(&mut self, instance_no: InstanceNo, task: TaskName, run: u32) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        if !instance.runs().get(&task).is_some_and(|state| state.run == run && !state.stopping) {
             return;
         }
-        if life.runs().get(&task).is_some_and(|run_state| run_state.phase == Phase::Unkept) {
-            return self.drop_run(life_no, task, run);
+        if instance.runs().get(&task).is_some_and(|run_state| run_state.phase == Phase::Unkept) {
+            return self.drop_run(instance_no, task, run);
         }
-        let waiting = life.orders.iter().position(|waiting| {
+        let waiting = instance.orders.iter().position(|waiting| {
             matches!(waiting, Order::Start(start) if start.task == task && start.run == run)
         });
         match waiting {
             Some(index) => {
-                life.orders.remove(index);
-                self.drop_run(life_no, task, run);
+                instance.orders.remove(index);
+                self.drop_run(instance_no, task, run);
             }
             None => {
-                if let Some(run_state) = life.run_mut(task, run) {
+                if let Some(run_state) = instance.run_mut(task, run) {
                     run_state.stopping = true;
                 }
-                life.orders.push_front(Order::Stop { task, run });
-                self.send_next_order(life_no);
+                instance.orders.push_front(Order::Stop { task, run });
+                self.send_next_order(instance_no);
             }
         }
     }
@@ -73,46 +73,48 @@
     /// Stops a run so that its task continues elsewhere.
     pub(super) fn move_run(
         &mut self,
-        life_no: LifeNo,
+        instance_no: InstanceNo,
         task: TaskName,
         run: u32,
         why: &'static str,
     ) {
-        let Some(life) = self.lives.get(life_no) else { return };
-        let worker = life.id().clone();
-        self.out.push(Action::Note(Note::RunMoved { task, run, worker, why }));
-        self.stop_run(life_no, task, run);
+        let Some(instance) = self.instances.get(instance_no) else { return };
+        let worker = instance.id().clone();
+        self.out.push(Action::Log(LogEntry::RunMoved { task, run, worker, why }));
+        self.stop_run(instance_no, task, run);
     }
 
     /// Sends the oldest waiting order if the worker can take one.
-    pub(super) fn send_next_order(&mut self, life_no: LifeNo) {
+    pub(super) fn send_next_order(&mut self, instance_no: InstanceNo) {
         let (now, lease, lease_expiry_delay) = (self.now, self.lease, self.lease_expiry_delay());
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        if life.order_sent.is_some() || life.silent > 0 || life.contested {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        if instance.order_sent.is_some() || instance.silent > 0 || instance.contested {
             return;
         }
-        let Some(clock_ms) = life.clock_ms(now) else { return };
-        let starts = matches!(life.orders.front(), Some(Order::Start(_)));
-        if starts && life.leasing != Leasing::Allowed {
+        let Some(clock_ms) = instance.clock_ms(now) else { return };
+        let starts = matches!(instance.orders.front(), Some(Order::Start(_)));
+        if starts && instance.leasing != Leasing::Allowed {
             return;
         }
-        let Some(order) = life.orders.pop_front() else { return };
+        let Some(order) = instance.orders.pop_front() else { return };
         if let Order::Start(start) = &order
-            && (life.entry.draining || life.zone_evacuated || life.listing == Listing::Unusable)
+            && (instance.entry.draining
+                || instance.zone_evacuated
+                || instance.listing == Listing::Unusable)
         {
             // The run was placed before the worker began to drain, before its zone was evacuated,
             // or before its entry was overwritten by another party.
-            self.drop_run(life_no, start.task, start.run);
-            return self.send_next_order(life_no);
+            self.drop_run(instance_no, start.task, start.run);
+            return self.send_next_order(instance_no);
         }
         if starts {
-            life.note_leased(lease_expiry_delay, now);
+            instance.note_leased(lease_expiry_delay, now);
         }
-        life.order_sent = Some(SentOrder { at: now, starts });
+        instance.order_sent = Some(SentOrder { at: now, starts });
         let action = Action::Order {
-            life: life_no,
-            entry: Arc::clone(&life.entry),
-            token: life.token,
+            instance: instance_no,
+            entry: Arc::clone(&instance.entry),
+            token: instance.token,
             lease_until_ms: clock_ms + lease.as_millis() as u64,
             order,
         };
@@ -122,53 +124,57 @@
     /// Handles the answer to an order, or its failure.
     pub(super) fn handle_order_answer(
         &mut self,
-        life_no: LifeNo,
+        instance_no: InstanceNo,
         order: Order,
         answer: OrderAnswer,
     ) {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        let sent_at = life.order_sent.take().map_or(now, |order| order.at);
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        let sent_at = instance.order_sent.take().map_or(now, |order| order.at);
         if !matches!(answer, OrderAnswer::Done { .. }) {
             let (task, run) = order.run();
-            let worker = life.id().clone();
-            self.out.push(Action::Note(Note::OrderFailed { task, run, worker, answer }));
+            let worker = instance.id().clone();
+            self.out.push(Action::Log(LogEntry::OrderFailed { task, run, worker, answer }));
         }
         match answer {
-            OrderAnswer::LifeOver => return self.end_life(life_no, LifeEnd::AnotherAnswers),
-            OrderAnswer::Unanswered => self.handle_unanswered_order(life_no, &order),
+            OrderAnswer::LifeOver => {
+                return self.end_instance(instance_no, InstanceEnd::AnotherAnswers);
+            }
+            OrderAnswer::Unanswered => self.handle_unanswered_order(instance_no, &order),
             OrderAnswer::Done { clock_ms, incarnation } => {
-                match self.executor_of(life_no, clock_ms, incarnation, sent_at) {
-                    Executor::ThisLife => self.handle_executed_order(life_no, &order),
+                match self.executor_of(instance_no, clock_ms, incarnation, sent_at) {
+                    Executor::ThisInstance => self.handle_executed_order(instance_no, &order),
                     Executor::Another(incarnation) => {
-                        self.handle_unanswered_order(life_no, &order);
-                        self.handle_other_incarnation(life_no, incarnation, sent_at);
+                        self.handle_unanswered_order(instance_no, &order);
+                        self.handle_other_incarnation(instance_no, incarnation, sent_at);
                     }
-                    Executor::Unknown => self.handle_unanswered_order(life_no, &order),
+                    Executor::Unknown => self.handle_unanswered_order(instance_no, &order),
                 }
             }
-            OrderAnswer::Refused(refusal) => self.handle_refused_order(life_no, &order, refusal),
+            OrderAnswer::Refused(refusal) => {
+                self.handle_refused_order(instance_no, &order, refusal)
+            }
         }
         // A hold must be sent before the next start: see `send_hold_if_due`.
-        self.send_hold_if_due(life_no);
-        self.send_next_order(life_no);
+        self.send_hold_if_due(instance_no);
+        self.send_next_order(instance_no);
     }
 
     /// Invalidates all orders sent so far and counts the worker as silent.
-    pub(super) fn raise_token_after_silence(&mut self, life_no: LifeNo) {
-        self.raise_shared_token(life_no);
-        if let Some(life) = self.lives.get_mut(life_no) {
-            life.silent += 1;
-            life.silent_since.get_or_insert(self.now);
-            life.silent_for_sure |= self.overload.silence_proves();
+    pub(super) fn raise_token_after_silence(&mut self, instance_no: InstanceNo) {
+        self.raise_shared_token(instance_no);
+        if let Some(instance) = self.instances.get_mut(instance_no) {
+            instance.silent += 1;
+            instance.silent_since.get_or_insert(self.now);
+            instance.silent_for_sure |= self.overload.silence_proves();
         }
     }
 
     /// Removes a run that certainly does not exist on the worker; its task becomes pending again.
-    pub(super) fn drop_run(&mut self, life_no: LifeNo, task: TaskName, run: u32) {
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        life.remove_run(task, run);
-        self.remove_placement(task, Placement { life: life_no, run });
+    pub(super) fn drop_run(&mut self, instance_no: InstanceNo, task: TaskName, run: u32) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        instance.remove_run(task, run);
+        self.remove_placement(task, Placement { instance: instance_no, run });
         self.placement_needed = true;
     }
 
@@ -184,95 +190,102 @@
     }
 
     /// Drops all runs of a worker that can no longer be running them.
-    pub(super) fn drop_all_runs(&mut self, life_no: LifeNo, why: &'static str) {
-        let Some(life) = self.lives.get(life_no) else { return };
-        for task in life.runs().keys().copied().collect::<Vec<_>>() {
-            self.log_dropped_run(life_no, task, why);
+    pub(super) fn drop_all_runs(&mut self, instance_no: InstanceNo, why: &'static str) {
+        let Some(instance) = self.instances.get(instance_no) else { return };
+        for task in instance.runs().keys().copied().collect::<Vec<_>>() {
+            self.log_dropped_run(instance_no, task, why);
         }
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        life.orders.clear();
-        for (task, run_state) in life.take_runs() {
-            self.remove_placement(task, Placement { life: life_no, run: run_state.run });
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        instance.orders.clear();
+        for (task, run_state) in instance.take_runs() {
+            self.remove_placement(task, Placement { instance: instance_no, run: run_state.run });
             self.placement_needed = true;
         }
     }
 
     /// Logs a dropped run, with its known duration and the number of other runs on the worker.
-    pub(super) fn log_dropped_run(&mut self, life_no: LifeNo, task: TaskName, why: &'static str) {
-        let Some(life) = self.lives.get(life_no) else { return };
-        let Some(run_state) = life.runs().get(&task) else { return };
-        let (run, worker) = (run_state.run, life.id().clone());
-        let ran_ms = life.known_to_run(run_state).map(|ran| ran.as_millis() as u64);
-        let beside = life.runs().len().saturating_sub(1) as u32;
-        self.out.push(Action::Note(Note::RunGivenUp { task, run, worker, why, ran_ms, beside }));
+    pub(super) fn log_dropped_run(
+        &mut self,
+        instance_no: InstanceNo,
+        task: TaskName,
+        why: &'static str,
+    ) {
+        let Some(instance) = self.instances.get(instance_no) else { return };
+        let Some(run_state) = instance.runs().get(&task) else { return };
+        let (run, worker) = (run_state.run, instance.id().clone());
+        let ran_ms = instance.known_to_run(run_state).map(|ran| ran.as_millis() as u64);
+        let beside = instance.runs().len().saturating_sub(1) as u32;
+        self.out.push(Action::Log(LogEntry::RunGivenUp { task, run, worker, why, ran_ms, beside }));
     }
 
     /// Handles an order without an answer: it may have been executed, or may be later.
-    fn handle_unanswered_order(&mut self, life_no: LifeNo, order: &Order) {
-        self.raise_token_after_silence(life_no);
+    fn handle_unanswered_order(&mut self, instance_no: InstanceNo, order: &Order) {
+        self.raise_token_after_silence(instance_no);
         let (task, run) = order.run();
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        let settled_by = life.token;
-        if let Some(run_state) = life.run_mut(task, run) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        let settled_by = instance.token;
+        if let Some(run_state) = instance.run_mut(task, run) {
             match order {
                 Order::Start(_) => run_state.phase = Phase::Doubtful { settled_by },
                 Order::Stop { .. } => run_state.stopping = false,
                 Order::Pace { .. } => run_state.paced_percent = UNKNOWN_PACE_PERCENT,
             }
         }
-        self.schedule_hold_within(life_no, Duration::ZERO);
-        self.send_hold_if_due(life_no);
+        self.schedule_hold_within(instance_no, Duration::ZERO);
+        self.send_hold_if_due(instance_no);
     }
 
-    fn handle_executed_order(&mut self, life_no: LifeNo, order: &Order) {
+    fn handle_executed_order(&mut self, instance_no: InstanceNo, order: &Order) {
         let now = self.now;
         let Order::Start(start) = order else { return };
-        let life = self.lives.get_mut(life_no);
-        if let Some(run_state) = life.and_then(|life| life.run_mut(start.task, start.run)) {
+        let instance = self.instances.get_mut(instance_no);
+        if let Some(run_state) =
+            instance.and_then(|instance| instance.run_mut(start.task, start.run))
+        {
             run_state.phase = Phase::Running(now);
             run_state.progress.rose_at = now;
         }
         if let Some(job) = self.jobs.get_mut(&start.task.job) {
             job.begun = true;
         }
-        self.repace(life_no);
-        self.schedule_hold_within(life_no, HOLD_AFTER_START);
+        self.repace(instance_no);
+        self.schedule_hold_within(instance_no, HOLD_AFTER_START);
     }
 
     /// Handles a refusal: the worker has not executed the order.
-    fn handle_refused_order(&mut self, life_no: LifeNo, order: &Order, refusal: Refusal) {
+    fn handle_refused_order(&mut self, instance_no: InstanceNo, order: &Order, refusal: Refusal) {
         let (task, run) = order.run();
         match order {
-            Order::Start(_) => self.drop_run(life_no, task, run),
+            Order::Start(_) => self.drop_run(instance_no, task, run),
             Order::Stop { .. } | Order::Pace { .. } => {
-                let life = self.lives.get_mut(life_no);
-                if let Some(run_state) = life.and_then(|life| life.run_mut(task, run)) {
+                let instance = self.instances.get_mut(instance_no);
+                if let Some(run_state) = instance.and_then(|instance| instance.run_mut(task, run)) {
                     run_state.stopping = false;
                 }
             }
         }
         match refusal {
-            Refusal::Fenced => self.handle_fenced_order(life_no),
-            Refusal::Unhealthy => self.set_aside_unhealthy(life_no),
+            Refusal::Fenced => self.handle_fenced_order(instance_no),
+            Refusal::Unhealthy => self.set_aside_unhealthy(instance_no),
             Refusal::Malformed => self.delay_task(task, self.now + MALFORMED_ORDER_BACKOFF),
             Refusal::Old | Refusal::Late | Refusal::Room | Refusal::Ticket => {}
         }
         // The worker's state differs from the expected one, so it is polled at once.
-        self.schedule_hold_within(life_no, Duration::ZERO);
+        self.schedule_hold_within(instance_no, Duration::ZERO);
     }
 
     /// Handles an order refused for its token. The worker has seen a higher one, sent by us over
     /// another connection or by another owner.
-    fn handle_fenced_order(&mut self, life_no: LifeNo) {
+    fn handle_fenced_order(&mut self, instance_no: InstanceNo) {
         let first = self.initial_token();
-        if self.lives.get(life_no).is_some_and(|life| life.token == first) {
+        if self.instances.get(instance_no).is_some_and(|instance| instance.token == first) {
             self.out.push(Action::Deposed);
         }
     }
 
     /// Handles a hold refused for its token, since the worker has seen a higher one.
-    pub(super) fn handle_fenced_hold(&mut self, life_no: LifeNo, token: u64) {
-        if self.lives.get(life_no).is_some_and(|life| life.token <= token) {
+    pub(super) fn handle_fenced_hold(&mut self, instance_no: InstanceNo, token: u64) {
+        if self.instances.get(instance_no).is_some_and(|instance| instance.token <= token) {
             self.out.push(Action::Deposed);
         }
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/pace.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pace.rs
@@ -6,13 +6,14 @@
 use super::{
     super::{
         event::Action,
-        life::{Life, LifeNo, Pace},
-        note::Note,
+        instance::{InstanceNo, Pace, WorkerInstance},
+        log_entry::LogEntry,
         order::Order,
-        run::{FULL_PACE_PERCENT, RunThere},
+        run::{FULL_PACE_PERCENT, PlacedRun},
     },
-    Scheduler, gauges,
-    room::{NEGLIGIBLE_EFFECT, full_loads},
+    Scheduler,
+    free_capacity::{NEGLIGIBLE_EFFECT, full_loads},
+    gauges,
     tails::{ImageNo, Load, TailModel},
 };
 use crate::Time;
@@ -38,45 +39,45 @@
 
 impl Scheduler {
     /// Learns from the latest report of a worker, and adjusts the pace of its best-effort runs.
-    pub(super) fn control_pace(&mut self, worker_no: LifeNo) {
-        let Some(life) = self.lives.get_mut(worker_no) else { return };
-        gauges::learn(&mut self.tails, life, self.now);
-        self.repace(worker_no);
-        self.move_slowed(worker_no);
+    pub(super) fn control_pace(&mut self, instance_no: InstanceNo) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        gauges::learn(&mut self.tails, instance, self.now);
+        self.repace(instance_no);
+        self.move_slowed(instance_no);
     }
 
     /// Computes the pace of the best-effort runs on a worker from the current state, and orders it.
-    pub(super) fn repace(&mut self, worker_no: LifeNo) {
+    pub(super) fn repace(&mut self, instance_no: InstanceNo) {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(worker_no) else { return };
-        let previous_paces = mem::take(&mut life.paces);
-        if !life.fills() {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        let previous_paces = mem::take(&mut instance.paces);
+        if !instance.fills() {
             return;
         }
         let mut changed_percents = Vec::new();
-        for (image, share) in shares(&self.tails, life, now) {
+        for (image, share) in shares(&self.tails, instance, now) {
             let current = previous_paces.get(&image).copied();
             let current = current.unwrap_or(Pace { percent: FULL_PACE_PERCENT, since: now });
             let pace = next_pace(current, share, now);
             if pace.percent != current.percent {
                 changed_percents.push(pace.percent);
             }
-            life.paces.insert(image, pace);
+            instance.paces.insert(image, pace);
         }
         if let Some(percent) = changed_percents.into_iter().min() {
-            let worker = life.id().clone();
-            let tail_of_target_percent = worst_tail_percent(life).unwrap_or(0);
-            self.out.push(Action::Note(Note::Paced { worker, percent, tail_of_target_percent }));
+            let worker = instance.id().clone();
+            let tail_of_target_percent = worst_tail_percent(instance).unwrap_or(0);
+            self.out.push(Action::Log(LogEntry::Paced { worker, percent, tail_of_target_percent }));
         }
-        self.order_paces(worker_no);
+        self.order_paces(instance_no);
     }
 
     /// Orders the pace of best-effort runs where it differs from the last order.
-    fn order_paces(&mut self, worker_no: LifeNo) {
-        let Some(life) = self.lives.get_mut(worker_no) else { return };
+    fn order_paces(&mut self, instance_no: InstanceNo) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
         let mut orders = Vec::new();
-        let paces = life.paces.clone();
-        for (task, run) in life.runs_mut() {
+        let paces = instance.paces.clone();
+        for (task, run) in instance.runs_mut() {
             let percent = paces.get(&run.image).map_or(FULL_PACE_PERCENT, |pace| pace.percent);
             let differs_from_order = run.fills && !run.stopping && run.paced_percent != percent;
             if differs_from_order && run.is_running() {
@@ -85,7 +86,7 @@
             }
         }
         for order in orders {
-            self.order_before_starts(worker_no, order);
+            self.order_before_starts(instance_no, order);
         }
     }
 }
@@ -99,10 +100,10 @@
 }
 
 /// Returns the pace of each best-effort image with which every serving task stays below its target.
-fn shares(tails: &TailModel, life: &Life, now: Time) -> Shares {
-    let full_loads_by_image = full_loads(life);
+fn shares(tails: &TailModel, instance: &WorkerInstance, now: Time) -> Shares {
+    let full_loads_by_image = full_loads(instance);
     let mut shares = full_loads_by_image.iter().map(|&(image, _)| (image, 1.0)).collect::<Shares>();
-    for run in life.runs().values().filter(|run| run.serves()) {
+    for run in instance.runs().values().filter(|run| run.serves()) {
         let is_cause = |&&(best_effort_image, _): &&Load| {
             tails.effect(best_effort_image, run.image) >= NEGLIGIBLE_EFFECT
         };
@@ -117,7 +118,7 @@
 
 /// Slows the causes of a serving task's stress until the model predicts a tail latency below its
 /// target.
-fn slow_to_target(tails: &TailModel, run: &RunThere, causes: &[Load], shares: &mut Shares) {
+fn slow_to_target(tails: &TailModel, run: &PlacedRun, causes: &[Load], shares: &mut Shares) {
     let target_ms = run.tail_target_ms.unwrap_or(1) as f64;
     let available_stress =
         tails.stress_at(run.image, target_ms, TARGET_SHARE) - run.own_stress.mean;
@@ -139,8 +140,8 @@
 }
 
 /// Returns the worst tail latency of the serving tasks on a worker, in percent of its target.
-fn worst_tail_percent(life: &Life) -> Option<u32> {
-    let percents = life.runs().values().filter_map(|run| {
+fn worst_tail_percent(instance: &WorkerInstance) -> Option<u32> {
+    let percents = instance.runs().values().filter_map(|run| {
         let target_ms = run.tail_target_ms.filter(|&target_ms| target_ms > 0)?;
         let tail_ms = u64::from(run.gauge?);
         u32::try_from(tail_ms * 100 / target_ms).ok()
--- a/crates/kitetrail-core/src/jobs/scheduler/pass.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pass.rs
@@ -3,18 +3,18 @@
 
 use super::{
     super::{
-        life::{Life, LifeNo},
+        instance::{InstanceNo, WorkerInstance},
         spec::StepSpec,
     },
     Scheduler,
+    free_capacity::Remaining,
     lateness::Lateness,
-    room::Remaining,
 };
 
 /// A worker that takes work, and its remaining capacity when the pass began.
 #[derive(Debug)]
 struct Candidate {
-    worker_no: LifeNo,
+    instance_no: InstanceNo,
     left: Remaining,
 }
 
@@ -37,9 +37,9 @@
 impl PlacementPass {
     /// Returns the workers that may have room for a task. Workers only get fuller during a pass, so
     /// one without room when it began has none now.
-    pub(super) fn with_room_for(&self, spec: &StepSpec) -> impl Iterator<Item = LifeNo> {
+    pub(super) fn with_room_for(&self, spec: &StepSpec) -> impl Iterator<Item = InstanceNo> {
         let with_room = self.candidates.iter().filter(|candidate| candidate.left.fits(spec));
-        with_room.map(|candidate| candidate.worker_no)
+        with_room.map(|candidate| candidate.instance_no)
     }
 
     /// Returns whether a step needs at least as much as one that found no room, and is otherwise
@@ -71,11 +71,11 @@
     /// Begins a placement pass over the waiting jobs.
     pub(super) fn begin_pass(&mut self) -> PlacementPass {
         self.refresh_rooms();
-        let candidate = |(worker_no, life): (LifeNo, &Life)| {
-            let room = life.room.as_ref().filter(|_| life.takes_work(self.now))?;
-            Some(Candidate { worker_no, left: room.left })
+        let candidate = |(instance_no, instance): (InstanceNo, &WorkerInstance)| {
+            let room = instance.room.as_ref().filter(|_| instance.takes_work(self.now))?;
+            Some(Candidate { instance_no, left: room.left })
         };
-        let candidates = self.lives.iter().filter_map(candidate).collect();
+        let candidates = self.instances.iter().filter_map(candidate).collect();
         PlacementPass {
             candidates,
             steps_without_room: Vec::new(),
--- a/crates/kitetrail-core/src/jobs/scheduler/pending.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pending.rs
@@ -4,8 +4,8 @@
 
 use super::{
     super::{
-        life::LifeNo,
-        names::{JobId, LifeKey},
+        instance::InstanceNo,
+        names::{InstanceKey, JobId},
         record::Outcome,
     },
     kept_starts::KeptStart,
@@ -52,8 +52,8 @@
     /// with high ids would be passed over for as long as the store lags behind.
     progress: UniqueQueue<JobId>,
     jobs_to_delete: BTreeSet<JobId>,
-    new_workers: BTreeSet<LifeNo>,
-    ended_workers: BTreeSet<LifeKey>,
+    new_workers: BTreeSet<InstanceNo>,
+    ended_workers: BTreeSet<InstanceKey>,
     /// Whether a record is to be persisted without delay.
     pub(super) urgent: bool,
     unpersisted_ends: UnkeptEnds,
@@ -78,7 +78,7 @@
     pub(super) number: u64,
     pub(super) new_jobs: Vec<JobId>,
     pub(super) outcomes: Vec<(JobId, Outcome)>,
-    pub(super) lives: Vec<LifeNo>,
+    pub(super) instances: Vec<InstanceNo>,
     /// Starts to order once the batch is persisted.
     pub(super) starts: Vec<KeptStart>,
 }
@@ -87,9 +87,9 @@
 #[derive(Debug)]
 pub(super) struct Taken {
     pub(super) new_jobs: Vec<JobId>,
-    pub(super) lives: Vec<LifeNo>,
+    pub(super) instances: Vec<InstanceNo>,
     pub(super) progress: Vec<JobId>,
-    pub(super) lives_over: Vec<LifeKey>,
+    pub(super) ended_instances: Vec<InstanceKey>,
     pub(super) forgotten: Vec<JobId>,
     /// Whether no other records wait to be persisted.
     pub(super) complete: bool,
@@ -108,7 +108,7 @@
         let reserved_for_ended = (self.ended.len() * ENDED_JOB_ENTRIES).min(RESERVED_ENTRIES);
         let reserved_for_progress = self.progress.len().min(RESERVED_ENTRIES);
         let mut room = MAX_BATCH_ENTRIES;
-        let lives =
+        let instances =
             take_first(&mut self.new_workers, &mut room, MAX_BATCH_ENTRIES - MAX_WORKER_ENTRIES);
         let new_jobs = self.take_new_jobs(
             &mut room,
@@ -120,9 +120,16 @@
         let mut progress = progress_of_new_jobs.collect::<Vec<_>>();
         progress.extend(self.take_ended(&mut room, reserved_for_progress));
         progress.extend(self.take_progress(&mut room, has_ended));
-        let lives_over = take_first(&mut self.ended_workers, &mut room, 0);
+        let ended_instances = take_first(&mut self.ended_workers, &mut room, 0);
         let forgotten = take_first(&mut self.jobs_to_delete, &mut room, 0);
-        Taken { new_jobs, lives, progress, lives_over, forgotten, complete: self.is_empty() }
+        Taken {
+            new_jobs,
+            instances,
+            progress,
+            ended_instances,
+            forgotten,
+            complete: self.is_empty(),
+        }
     }
 
     fn take_new_jobs(
@@ -225,25 +232,30 @@
         }
     }
 
-    pub(super) fn add_life(&mut self, worker_no: LifeNo) {
-        self.new_workers.insert(worker_no);
+    pub(super) fn add_instance(&mut self, instance_no: InstanceNo) {
+        self.new_workers.insert(instance_no);
         self.urgent = true;
     }
 
     /// Requests that the row of a worker is soon written again.
-    pub(super) fn rewrite_life(&mut self, worker_no: LifeNo) {
-        self.new_workers.insert(worker_no);
+    pub(super) fn rewrite_instance(&mut self, instance_no: InstanceNo) {
+        self.new_workers.insert(instance_no);
     }
 
-    pub(super) fn end_life(&mut self, worker_no: LifeNo, key: LifeKey, is_kept: bool) {
-        if !self.new_workers.remove(&worker_no) || is_kept {
+    pub(super) fn remove_instance(
+        &mut self,
+        instance_no: InstanceNo,
+        key: InstanceKey,
+        is_kept: bool,
+    ) {
+        if !self.new_workers.remove(&instance_no) || is_kept {
             self.ended_workers.insert(key);
         }
     }
 
     /// Records an end that a worker reported, before the records that it changes.
-    pub(super) fn note_end(&mut self, worker_no: LifeNo, number: u64) {
-        self.unpersisted_ends.push(worker_no, number);
+    pub(super) fn note_end(&mut self, instance_no: InstanceNo, number: u64) {
+        self.unpersisted_ends.push(instance_no, number);
     }
 
     /// Takes out the ends whose changes are all persisted, while no batch is in flight.
--- a/crates/kitetrail-core/src/jobs/scheduler/place.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/place.rs
@@ -6,21 +6,21 @@
     super::{
         crashes::BegunRun,
         event::Action,
+        instance::{InstanceNo, WorkerInstance},
         job::Job,
-        life::{Life, LifeNo},
+        log_entry::LogEntry,
         names::{JobId, StepName, TaskName},
-        note::Note,
         order::{Order, StartOrder},
-        run::{Phase, RunThere},
+        run::{Phase, PlacedRun},
         spec::StepSpec,
         steps::Placement,
     },
     Scheduler,
     fit::Fit,
+    free_capacity::Room,
     lateness::{Lateness, PlacementRank},
     pass::PlacementPass,
     ranking::Ranking,
-    room::Room,
 };
 use crate::Time;
 
@@ -82,15 +82,16 @@
             if pass.starts_left == 0 || self.is_held_back(name, spec) {
                 return true;
             }
-            let Some(worker_no) = ranking.take_best(|worker_no| self.score(name, spec, worker_no))
+            let Some(instance_no) =
+                ranking.take_best(|instance_no| self.score(name, spec, instance_no))
             else {
                 return false;
             };
-            self.start(name, worker_no, spec, None);
+            self.start(name, instance_no, spec, None);
             pass.starts_left -= 1;
             let next = waiting.get(position + 1);
-            if let Some(score) = next.and_then(|&next| self.score(next, spec, worker_no)) {
-                ranking.put_back(worker_no, score);
+            if let Some(score) = next.and_then(|&next| self.score(next, spec, instance_no)) {
+                ranking.put_back(instance_no, score);
             }
         }
         true
@@ -110,24 +111,32 @@
         let fit =
             self.fit(name, spec, &[]).map(|fit| Fit { avoid: None, runs_alone: false, ..fit });
         let Some(fit) = fit else { return Ranking::new(iter::empty()) };
-        let score = |worker_no| {
-            Some((self.score_with(&fit, worker_no, self.lives.get(worker_no)?)?, worker_no))
+        let score = |instance_no| {
+            Some((
+                self.score_with(&fit, instance_no, self.instances.get(instance_no)?)?,
+                instance_no,
+            ))
         };
         Ranking::new(pass.with_room_for(spec).filter_map(score))
     }
 
     /// Returns how well a worker suits a task, where lower is better, or `None` if it can't run it.
-    fn score(&mut self, name: TaskName, spec: &StepSpec, worker_no: LifeNo) -> Option<f64> {
-        let life = self.lives.get_mut(worker_no)?;
-        if life.room.is_none() {
-            life.room = Some(Room::of(life));
+    fn score(&mut self, name: TaskName, spec: &StepSpec, instance_no: InstanceNo) -> Option<f64> {
+        let instance = self.instances.get_mut(instance_no)?;
+        if instance.room.is_none() {
+            instance.room = Some(Room::of(instance));
         }
-        self.score_up_to_date(name, spec, worker_no)
+        self.score_up_to_date(name, spec, instance_no)
     }
 
     /// The same, for a worker whose remaining capacity is up to date.
-    fn score_up_to_date(&self, name: TaskName, spec: &StepSpec, worker_no: LifeNo) -> Option<f64> {
-        self.score_with(&self.fit(name, spec, &[])?, worker_no, self.lives.get(worker_no)?)
+    fn score_up_to_date(
+        &self,
+        name: TaskName,
+        spec: &StepSpec,
+        instance_no: InstanceNo,
+    ) -> Option<f64> {
+        self.score_with(&self.fit(name, spec, &[])?, instance_no, self.instances.get(instance_no)?)
     }
 
     /// Returns the placement inputs of a task, beside gang members whose workers are chosen
@@ -136,17 +145,17 @@
         &'a self,
         name: TaskName,
         spec: &'a StepSpec,
-        members: &'a [LifeNo],
+        members: &'a [InstanceNo],
     ) -> Option<Fit<'a>> {
         let job = self.jobs.get(&name.job)?;
-        let first = members.first().and_then(|&worker_no| self.lives.get(worker_no));
+        let first = members.first().and_then(|&instance_no| self.instances.get(instance_no));
         Some(Fit {
             name,
             spec,
             service: &job.queue.service,
             image: *job.images.get(name.step as usize)?,
             members,
-            rack: first.map(|life| life.entry.rack.as_str()),
+            rack: first.map(|instance| instance.entry.rack.as_str()),
             avoid: job.task(name).and_then(|task| task.avoid),
             now: self.now,
             runs_alone: job.task(name).is_some_and(|task| task.crashes.runs_alone()),
@@ -157,17 +166,25 @@
     }
 
     /// Returns all workers that suit a task, each with its score.
-    fn scored_workers(&self, fit: &Fit<'_>) -> impl Iterator<Item = (f64, LifeNo)> {
-        let score =
-            |worker_no, life| self.score_with(fit, worker_no, life).map(|score| (score, worker_no));
-        self.lives.iter().filter_map(move |(worker_no, life)| score(worker_no, life))
+    fn scored_workers(&self, fit: &Fit<'_>) -> impl Iterator<Item = (f64, InstanceNo)> {
+        let score = |instance_no, instance| {
+            self.score_with(fit, instance_no, instance).map(|score| (score, instance_no))
+        };
+        self.instances
+            .iter()
+            .filter_map(move |(instance_no, instance)| score(instance_no, instance))
     }
 
     /// Returns how well a worker suits a task, or `None` if it can't run it or takes no work.
-    fn score_with(&self, fit: &Fit<'_>, worker_no: LifeNo, life: &Life) -> Option<f64> {
-        let room = life.room.as_ref().filter(|room| room.left.fits(fit.spec))?;
-        let is_eligible = life.takes_work(self.now) && life.entry.service == fit.service;
-        if is_eligible { fit.score(worker_no, life, room) } else { None }
+    fn score_with(
+        &self,
+        fit: &Fit<'_>,
+        instance_no: InstanceNo,
+        instance: &WorkerInstance,
+    ) -> Option<f64> {
+        let room = instance.room.as_ref().filter(|room| room.left.fits(fit.spec))?;
+        let is_eligible = instance.takes_work(self.now) && instance.entry.service == fit.service;
+        if is_eligible { fit.score(instance_no, instance, room) } else { None }
     }
 
     /// Places all members of a gang or none.
@@ -183,26 +200,26 @@
         let mut chosen = Vec::new();
         for index in 0..spec.count {
             match self.choose(step.task(index), spec, &chosen) {
-                Some(worker_no) => chosen.push(worker_no),
+                Some(instance_no) => chosen.push(instance_no),
                 None => return,
             }
         }
         pass.starts_left = pass.starts_left.saturating_sub(spec.count);
-        for (index, worker_no) in (0..).zip(chosen) {
+        for (index, instance_no) in (0..).zip(chosen) {
             let name = step.task(index);
             if let Some(task) = self.task_mut(name) {
                 task.checkpoint.clone_from(&checkpoint);
                 // Members wait for each other, so their starts are sent together.
                 task.watched = watched;
             }
-            self.start(name, worker_no, spec, Some(run));
+            self.start(name, instance_no, spec, Some(run));
         }
     }
 
     /// Recomputes the remaining capacity of the workers on which something changed.
     pub(super) fn refresh_rooms(&mut self) {
-        for life in self.lives.values_mut().filter(|life| life.room.is_none()) {
-            life.room = Some(Room::of(life));
+        for instance in self.instances.values_mut().filter(|instance| instance.room.is_none()) {
+            instance.room = Some(Room::of(instance));
         }
     }
 
@@ -211,18 +228,20 @@
         &mut self,
         name: TaskName,
         spec: &StepSpec,
-        members: &[LifeNo],
-    ) -> Option<LifeNo> {
+        members: &[InstanceNo],
+    ) -> Option<InstanceNo> {
         self.refresh_rooms();
         let fit = self.fit(name, spec, members)?;
-        self.scored_workers(&fit).min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, worker_no)| worker_no)
+        self.scored_workers(&fit)
+            .min_by(|a, b| a.0.total_cmp(&b.0))
+            .map(|(_, instance_no)| instance_no)
     }
 
     /// Assigns a task to a worker, as the given run or as the task's next one.
     pub(super) fn start(
         &mut self,
         name: TaskName,
-        worker_no: LifeNo,
+        instance_no: InstanceNo,
         spec: &StepSpec,
         run: Option<u32>,
     ) {
@@ -230,34 +249,34 @@
         let payload = Arc::clone(&job.payload);
         let Some(&image) = job.images.get(name.step as usize) else { return };
         let Some(task) = job.task_mut(name) else { return };
-        let Some(life) = self.lives.get_mut(worker_no) else { return };
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
         let run = run.unwrap_or(task.last_run + 1);
         task.last_run = run;
         let suspected = !task.crashes.workers.is_empty();
         let runs_alone = task.crashes.runs_alone();
         task.note_start(self.inherited_crashed);
         let persist_first = task.watched;
-        task.crashes.begun = persist_first.then(|| BegunRun::new(run, life.entry.key()));
-        task.placed.push(Placement { life: worker_no, run });
+        task.crashes.begun = persist_first.then(|| BegunRun::new(run, instance.entry.key()));
+        task.placed.push(Placement { instance: instance_no, run });
         let checkpoint = task.checkpoint.clone().filter(|_| spec.keeps_progress);
         self.started.record(spec.kind(), job.can_be_in_time(self.now));
-        self.out.push(Action::Note(Note::Placed {
+        self.out.push(Action::Log(LogEntry::Placed {
             task: name,
             run,
-            worker: life.id().clone(),
-            free: life.room.as_ref().map(|room| room.left.free).unwrap_or_default(),
-            heard_ago_ms: life.heard_ago_ms(self.now),
+            worker: instance.id().clone(),
+            free: instance.room.as_ref().map(|room| room.left.free).unwrap_or_default(),
+            heard_ago_ms: instance.heard_ago_ms(self.now),
         }));
         if !spec.fills && !spec.lasts {
             self.short_work.record_size(spec.size.cpu_millis.0);
         }
         let phase = if persist_first { Phase::Unkept } else { Phase::Ordered };
-        let new_run = RunThere::new(run, spec, image, self.now);
-        life.insert_run(name, RunThere { phase, suspected, alone: runs_alone, ..new_run });
+        let new_run = PlacedRun::new(run, spec, image, self.now);
+        instance.insert_run(name, PlacedRun { phase, suspected, alone: runs_alone, ..new_run });
         let order = StartOrder { task: name, run, payload, checkpoint, ticket: None };
         match persist_first {
-            true => self.order_once_kept(worker_no, order),
-            false => self.order(worker_no, Order::Start(order)),
+            true => self.order_once_kept(instance_no, order),
+            false => self.order(instance_no, Order::Start(order)),
         }
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/hear.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/poll_answers.rs
@@ -4,10 +4,10 @@
 
 use super::{
     super::{
-        life::{LifeEnd, LifeNo},
+        instance::{InstanceEnd, InstanceNo},
         names::{Incarnation, TaskName},
         report::{Hold, HoldFailure, Report, RunEnd, RunningTask},
-        run::{Phase, Progress, RunThere, UNKNOWN_PACE_PERCENT},
+        run::{Phase, PlacedRun, Progress, UNKNOWN_PACE_PERCENT},
         spec::StepSpec,
         steps::Placement,
     },
@@ -21,121 +21,133 @@
     /// Handles the answer to a hold, or its failure.
     pub(super) fn handle_hold_answer(
         &mut self,
-        life_no: LifeNo,
+        instance_no: InstanceNo,
         hold: Hold,
         sent_at: Time,
         answer: Result<Report, HoldFailure>,
     ) {
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        life.hold_sent = false;
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        instance.hold_sent = false;
         match answer {
-            Ok(report) => match self.report_source(life_no, sent_at, &report) {
-                ReportSource::ThisLife => self.handle_report(life_no, hold, sent_at, &report),
+            Ok(report) => match self.report_source(instance_no, sent_at, &report) {
+                ReportSource::ThisInstance => {
+                    self.handle_report(instance_no, hold, sent_at, &report)
+                }
                 ReportSource::Another(incarnation) => {
-                    self.handle_other_incarnation(life_no, incarnation, sent_at)
+                    self.handle_other_incarnation(instance_no, incarnation, sent_at)
                 }
                 ReportSource::Earlier => {
-                    self.handle_ends_of_earlier_incarnation(life_no, &report.ended)
+                    self.handle_ends_of_earlier_incarnation(instance_no, &report.ended)
                 }
                 ReportSource::Unknown => {}
             },
-            Err(HoldFailure::LifeOver) => {
-                return self.end_life(life_no, LifeEnd::AnotherAnswers);
+            Err(HoldFailure::InstanceOver) => {
+                return self.end_instance(instance_no, InstanceEnd::AnotherAnswers);
             }
-            Err(HoldFailure::Fenced) => self.handle_fenced_hold(life_no, hold.token),
+            Err(HoldFailure::Fenced) => self.handle_fenced_hold(instance_no, hold.token),
             Err(HoldFailure::Unhealthy) => {
-                life.silent += 1;
-                self.set_aside_unhealthy(life_no);
+                instance.silent += 1;
+                self.set_aside_unhealthy(instance_no);
             }
-            Err(HoldFailure::Unanswered) => self.handle_silence(life_no),
+            Err(HoldFailure::Unanswered) => self.handle_silence(instance_no),
         }
-        self.schedule_hold(life_no);
-        self.send_next_order(life_no);
+        self.schedule_hold(instance_no);
+        self.send_next_order(instance_no);
     }
 
     /// Handles ends of runs reported in a late answer.
     pub(super) fn handle_late_ends(
         &mut self,
-        life_no: LifeNo,
+        instance_no: InstanceNo,
         incarnation: Option<Incarnation>,
         ended: &[RunEnd],
     ) {
-        let Some(life) = self.lives.get(life_no) else { return };
-        if incarnation.is_some() && incarnation != life.entry.incarnation {
-            return self.handle_ends_of_earlier_incarnation(life_no, ended);
+        let Some(instance) = self.instances.get(instance_no) else { return };
+        if incarnation.is_some() && incarnation != instance.entry.incarnation {
+            return self.handle_ends_of_earlier_incarnation(instance_no, ended);
         }
         for end in ended {
-            self.handle_run_end(life_no, end);
+            self.handle_run_end(instance_no, end);
         }
     }
 
-    fn handle_silence(&mut self, life_no: LifeNo) {
-        if self.lives.get(life_no).is_some_and(|life| life.silent == 0) {
-            self.log_worker_state(life_no, "silent");
+    fn handle_silence(&mut self, instance_no: InstanceNo) {
+        if self.instances.get(instance_no).is_some_and(|instance| instance.silent == 0) {
+            self.log_worker_state(instance_no, "silent");
         }
-        self.raise_token_after_silence(life_no);
-        self.copy_from_silent(life_no);
+        self.raise_token_after_silence(instance_no);
+        self.copy_from_silent(instance_no);
     }
 
-    fn handle_report(&mut self, life_no: LifeNo, hold: Hold, sent_at: Time, report: &Report) {
+    fn handle_report(
+        &mut self,
+        instance_no: InstanceNo,
+        hold: Hold,
+        sent_at: Time,
+        report: &Report,
+    ) {
         let now = self.now;
-        if self.lives.get(life_no).is_some_and(|life| life.silent > 0 && life.known) {
-            self.log_worker_state(life_no, "answers again");
-        }
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        let first = !life.known;
-        life.known = true;
-        life.note_heard(report.clock_ms, sent_at, now);
-        self.resume_leasing(life_no);
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        life.ends_told = life.ends_told.max(hold.ends_kept);
-        let contested = life.contested;
-        life.note_running(report);
-        self.unheard.remove(&life_no);
+        if self
+            .instances
+            .get(instance_no)
+            .is_some_and(|instance| instance.silent > 0 && instance.known)
+        {
+            self.log_worker_state(instance_no, "answers again");
+        }
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        let first = !instance.known;
+        instance.known = true;
+        instance.note_heard(report.clock_ms, sent_at, now);
+        self.resume_leasing(instance_no);
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        instance.ends_told = instance.ends_told.max(hold.ends_kept);
+        let contested = instance.contested;
+        instance.note_running(report);
+        self.unheard.remove(&instance_no);
         if first || contested {
-            self.end_earlier_lives(life_no, sent_at, report);
+            self.end_earlier_instances(instance_no, sent_at, report);
         }
         if first {
-            self.clear_unstarted(life_no, report);
+            self.clear_unstarted(instance_no, report);
         }
         for end in &report.ended {
-            self.handle_run_end(life_no, end);
+            self.handle_run_end(instance_no, end);
         }
         for running in &report.running {
-            self.reconcile_running(life_no, running);
+            self.reconcile_running(instance_no, running);
         }
-        self.reconcile_missing(life_no, hold, sent_at, report);
-        self.check_suspects(life_no);
-        self.check_progress(life_no);
-        self.control_pace(life_no);
+        self.reconcile_missing(instance_no, hold, sent_at, report);
+        self.check_suspects(instance_no);
+        self.check_progress(instance_no);
+        self.control_pace(instance_no);
         if first {
             self.placement_needed = true;
         }
     }
 
     /// Reconciles a reported run, which may be expected, inherited or unwanted.
-    fn reconcile_running(&mut self, life_no: LifeNo, running: &RunningTask) {
+    fn reconcile_running(&mut self, instance_no: InstanceNo, running: &RunningTask) {
         let now = self.now;
         let (name, run) = (running.task, running.run);
-        let placement = Placement { life: life_no, run };
+        let placement = Placement { instance: instance_no, run };
         let is_wanted = self.should_run(name, placement);
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        match life.runs().get(&name).map(|run_state| run_state.run) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        match instance.runs().get(&name).map(|run_state| run_state.run) {
             Some(expected) if expected != run => return,
-            Some(_) => life.note_confirmed(name, run, now),
-            None => self.adopt(life_no, running),
+            Some(_) => instance.note_confirmed(name, run, now),
+            None => self.adopt(instance_no, running),
         }
         match is_wanted {
             true => self.record_running(name, placement, running.checkpoint.as_deref()),
-            false => self.stop_run(life_no, name, run),
+            false => self.stop_run(instance_no, name, run),
         }
     }
 
     /// Clears recorded starts when a worker used by an earlier owner answers: tasks recorded as
     /// about to start there that it does not run never ran.
-    fn clear_unstarted(&mut self, life_no: LifeNo, report: &Report) {
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        for name in mem::take(&mut life.begun_before) {
+    fn clear_unstarted(&mut self, instance_no: InstanceNo, report: &Report) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        for name in mem::take(&mut instance.begun_before) {
             let runs = report.running.iter().any(|running| running.task == name);
             let Some(task) = self.task_mut(name).filter(|_| !runs) else { continue };
             task.crashes.begun = None;
@@ -169,26 +181,30 @@
     }
 
     /// Adopts a run that an earlier owner started.
-    fn adopt(&mut self, life_no: LifeNo, running: &RunningTask) {
+    fn adopt(&mut self, instance_no: InstanceNo, running: &RunningTask) {
         let now = self.now;
         let name = running.task;
         let image = self.image_of(name);
         // If the job has ended its spec is unknown. All that is certain is that the task fits the
         // worker.
-        let size = self.lives.get(life_no).map(|life| life.entry.capacity).unwrap_or_default();
+        let size = self
+            .instances
+            .get(instance_no)
+            .map(|instance| instance.entry.capacity)
+            .unwrap_or_default();
         let unknown = StepSpec { size, ..StepSpec::default() };
         let spec = self.step_spec(name).unwrap_or(&unknown);
-        let run_state = RunThere {
+        let run_state = PlacedRun {
             phase: Phase::Running(now),
             percent: running.percent,
             progress: Progress { from_percent: running.percent, ..Progress::new(now) },
             gauge: running.gauge,
             paced_percent: UNKNOWN_PACE_PERCENT,
             adopted: true,
-            ..RunThere::new(running.run, spec, image, now)
+            ..PlacedRun::new(running.run, spec, image, now)
         };
-        if let Some(life) = self.lives.get_mut(life_no) {
-            life.insert_run(name, run_state);
+        if let Some(instance) = self.instances.get_mut(instance_no) {
+            instance.insert_run(name, run_state);
         }
     }
 
@@ -199,12 +215,18 @@
     }
 
     /// Drops runs that the scheduler expects on a worker but the worker does not report.
-    fn reconcile_missing(&mut self, life_no: LifeNo, hold: Hold, sent_at: Time, report: &Report) {
-        let Some(life) = self.lives.get(life_no) else { return };
+    fn reconcile_missing(
+        &mut self,
+        instance_no: InstanceNo,
+        hold: Hold,
+        sent_at: Time,
+        report: &Report,
+    ) {
+        let Some(instance) = self.instances.get(instance_no) else { return };
         let reported = |name: TaskName, run: u32| {
             report.running.iter().any(|running| running.task == name && running.run == run)
         };
-        let missing = life.runs().iter().filter(|&(&name, run_state)| {
+        let missing = instance.runs().iter().filter(|&(&name, run_state)| {
             let is_settled = match run_state.phase {
                 Phase::Unkept | Phase::Ordered => false,
                 Phase::Doubtful { settled_by } => hold.token >= settled_by,
@@ -215,8 +237,8 @@
         let why = "its worker does not run it and can no longer start it";
         let missing = missing.map(|(&name, run_state)| (name, run_state.run)).collect::<Vec<_>>();
         for (task, run) in missing {
-            self.log_dropped_run(life_no, task, why);
-            self.drop_run(life_no, task, run);
+            self.log_dropped_run(instance_no, task, why);
+            self.drop_run(instance_no, task, run);
         }
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/holds.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/polls.rs
@@ -5,7 +5,7 @@
 use super::{
     super::{
         event::Action,
-        life::{Leasing, Life, LifeNo},
+        instance::{InstanceNo, Leasing, WorkerInstance},
         report::Hold,
     },
     Scheduler,
@@ -38,66 +38,74 @@
 
 impl Scheduler {
     /// Sends a hold to a worker if one is due.
-    pub(super) fn send_hold_if_due(&mut self, life_no: LifeNo) {
+    pub(super) fn send_hold_if_due(&mut self, instance_no: InstanceNo) {
         let (now, lease, lease_expiry_delay) = (self.now, self.lease, self.lease_expiry_delay());
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        if life.hold_sent || life.next_hold_at.is_none_or(|due_at| due_at > now) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        if instance.hold_sent || instance.next_hold_at.is_none_or(|due_at| due_at > now) {
             return;
         }
-        let ends_kept = life.ends_to_tell();
-        if ends_kept > 0 && life.start_is_on_its_way() {
+        let ends_kept = instance.ends_to_tell();
+        if ends_kept > 0 && instance.start_is_on_its_way() {
             // The answer to the start shows whether a later incarnation received it. That one must
             // not get the acknowledgement, which it would apply to its own ends.
             return;
         }
-        let wait_ms = wait_ms(life);
+        let wait_ms = wait_ms(instance);
         // The lease of a silent worker is left to expire, because even an unanswered renewal may
         // take effect.
-        let may_lease = life.silent == 0 && life.leasing == Leasing::Allowed;
-        let lease_clock_ms = life.clock_ms(now).filter(|_| may_lease);
+        let may_lease = instance.silent == 0 && instance.leasing == Leasing::Allowed;
+        let lease_clock_ms = instance.clock_ms(now).filter(|_| may_lease);
         let lease_until_ms = lease_clock_ms.map(|clock_ms| clock_ms + lease.as_millis() as u64);
         if lease_until_ms.is_some() {
-            life.note_leased(lease_expiry_delay, now);
+            instance.note_leased(lease_expiry_delay, now);
         }
-        life.hold_sent = true;
-        let hold = Hold { token: life.token, lease_until_ms, ends_kept, wait_ms };
-        self.out.push(Action::Hold { life: life_no, entry: Arc::clone(&life.entry), hold });
+        instance.hold_sent = true;
+        let hold = Hold { token: instance.token, lease_until_ms, ends_kept, wait_ms };
+        self.out.push(Action::Hold {
+            instance: instance_no,
+            entry: Arc::clone(&instance.entry),
+            hold,
+        });
     }
 
     /// Schedules the next hold to a worker.
     ///
     /// Where a tail latency is above its target, neither a large fleet nor a lagging owner delays
     /// holds, because batch tasks there are halted based on these reports.
-    pub(super) fn schedule_hold(&mut self, life_no: LifeNo) {
+    pub(super) fn schedule_hold(&mut self, instance_no: InstanceNo) {
         let now = self.now;
-        let fleet_cycle = Duration::from_secs_f64(self.lives.len() as f64 / TARGET_HOLDS_PER_S);
+        let fleet_cycle = Duration::from_secs_f64(self.instances.len() as f64 / TARGET_HOLDS_PER_S);
         let extra_pause = fleet_cycle.saturating_sub(USUAL_HOLD_CYCLE);
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        let pause = match life.silent {
-            0 if life.contested => HOLD_PAUSE,
-            0 if life.runs().is_empty() && life.ends_told >= life.ends_seen => HOLD_PAUSE_IDLE,
-            0 if life.runs().is_empty() => HOLD_PAUSE_UNACKNOWLEDGED,
-            0 if life.may_do_harm() => HOLD_PAUSE,
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        let pause = match instance.silent {
+            0 if instance.contested => HOLD_PAUSE,
+            0 if instance.runs().is_empty() && instance.ends_told >= instance.ends_seen => {
+                HOLD_PAUSE_IDLE
+            }
+            0 if instance.runs().is_empty() => HOLD_PAUSE_UNACKNOWLEDGED,
+            0 if instance.may_do_harm() => HOLD_PAUSE,
             0 => HOLD_PAUSE + extra_pause + self.overload.hold_pause(),
             failed_holds => (HOLD_RETRY_STEP * failed_holds).min(MAX_HOLD_RETRY),
         };
-        life.next_hold_at = Some(now + pause);
+        instance.next_hold_at = Some(now + pause);
     }
 
     /// Brings the next hold to a worker forward, because a change is expected.
-    pub(super) fn schedule_hold_within(&mut self, life_no: LifeNo, pause: Duration) {
+    pub(super) fn schedule_hold_within(&mut self, instance_no: InstanceNo, pause: Duration) {
         let due_at = self.now + pause;
-        if let Some(life) = self.lives.get_mut(life_no) {
-            life.next_hold_at = Some(life.next_hold_at.map_or(due_at, |due| due.min(due_at)));
+        if let Some(instance) = self.instances.get_mut(instance_no) {
+            instance.next_hold_at =
+                Some(instance.next_hold_at.map_or(due_at, |due| due.min(due_at)));
         }
     }
 }
 
 /// Returns how long a worker may wait for an end before it answers, in milliseconds.
-fn wait_ms(life: &Life) -> u32 {
-    let is_leased = life.silent == 0 && life.leasing == Leasing::Allowed;
-    let immediate = !is_leased || life.contested || !life.known || life.runs().is_empty();
-    let shared = life.serves() && life.fills();
+fn wait_ms(instance: &WorkerInstance) -> u32 {
+    let is_leased = instance.silent == 0 && instance.leasing == Leasing::Allowed;
+    let immediate =
+        !is_leased || instance.contested || !instance.known || instance.runs().is_empty();
+    let shared = instance.serves() && instance.fills();
     match (immediate, shared) {
         (true, _) => 0,
         (false, true) => HOLD_WAIT_SHARED_MS,
--- a/crates/kitetrail-core/src/jobs/scheduler/set_aside.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/quarantine.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{super::life::LifeNo, Scheduler};
+use super::{super::instance::InstanceNo, Scheduler};
 
 /// How long a worker that reports itself unhealthy gets no new work.
 const UNHEALTHY_DURATION: Duration = Duration::from_millis(1_000);
@@ -22,20 +22,21 @@
 
 impl Scheduler {
     /// Sets aside a worker that reports itself unhealthy.
-    pub(super) fn set_aside_unhealthy(&mut self, life_no: LifeNo) {
-        if let Some(life) = self.lives.get_mut(life_no) {
-            life.set_aside_until = life.set_aside_until.max(Some(self.now + UNHEALTHY_DURATION));
+    pub(super) fn set_aside_unhealthy(&mut self, instance_no: InstanceNo) {
+        if let Some(instance) = self.instances.get_mut(instance_no) {
+            instance.set_aside_until =
+                instance.set_aside_until.max(Some(self.now + UNHEALTHY_DURATION));
         }
     }
 
     /// Sets aside a worker whose runs make no progress.
-    pub(super) fn set_aside_hanging(&mut self, life_no: LifeNo) {
+    pub(super) fn set_aside_hanging(&mut self, instance_no: InstanceNo) {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        let already_set_aside = life.set_aside_until.is_some_and(|until| until > now);
-        life.set_aside_until = life.set_aside_until.max(Some(now + HANGING_DURATION));
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        let already_set_aside = instance.set_aside_until.is_some_and(|until| until > now);
+        instance.set_aside_until = instance.set_aside_until.max(Some(now + HANGING_DURATION));
         if !already_set_aside {
-            self.log_worker_state(life_no, "set aside: its runs stand still");
+            self.log_worker_state(instance_no, "set aside: its runs stand still");
         }
     }
 
@@ -43,20 +44,20 @@
     ///
     /// Further failures don't extend the time for which a worker is set aside, since they belong to
     /// runs that were started before.
-    pub(super) fn record_run_failure(&mut self, life_no: LifeNo) {
+    pub(super) fn record_run_failure(&mut self, instance_no: InstanceNo) {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        life.failures += 1;
-        let is_set_aside = life.set_aside_until.is_some_and(|until| until > now);
-        if life.failures < CONSECUTIVE_FAILURE_LIMIT || is_set_aside {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        instance.failures += 1;
+        let is_set_aside = instance.set_aside_until.is_some_and(|until| until > now);
+        if instance.failures < CONSECUTIVE_FAILURE_LIMIT || is_set_aside {
             return;
         }
-        let doublings = life.set_aside_times.min(MAX_DOUBLINGS);
+        let doublings = instance.set_aside_times.min(MAX_DOUBLINGS);
         let pause = (SET_ASIDE_DURATION * 2_u32.pow(doublings)).min(MAX_SET_ASIDE_DURATION);
-        life.set_aside_times = doublings + 1;
+        instance.set_aside_times = doublings + 1;
         // After the pause, a single failure sets the worker aside again.
-        life.failures = CONSECUTIVE_FAILURE_LIMIT - 1;
-        life.set_aside_until = Some(now + pause);
-        self.log_worker_state(life_no, "set aside: its runs fail");
+        instance.failures = CONSECUTIVE_FAILURE_LIMIT - 1;
+        instance.set_aside_until = Some(now + pause);
+        self.log_worker_state(instance_no, "set aside: its runs fail");
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/ranking.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/ranking.rs
@@ -5,13 +5,13 @@
     collections::BinaryHeap,
 };
 
-use super::super::life::LifeNo;
+use super::super::instance::InstanceNo;
 
 /// A worker and its score, where lower is better.
 #[derive(Debug, Clone, Copy)]
 struct Ranked {
     score: f64,
-    worker_no: LifeNo,
+    instance_no: InstanceNo,
 }
 
 impl PartialEq for Ranked {
@@ -30,7 +30,7 @@
 
 impl Ord for Ranked {
     fn cmp(&self, other: &Self) -> Ordering {
-        self.score.total_cmp(&other.score).then(self.worker_no.cmp(&other.worker_no))
+        self.score.total_cmp(&other.score).then(self.instance_no.cmp(&other.instance_no))
     }
 }
 
@@ -45,8 +45,8 @@
 }
 
 impl Ranking {
-    pub(super) fn new(scored: impl Iterator<Item = (f64, LifeNo)>) -> Self {
-        let ranked = scored.map(|(score, worker_no)| Reverse(Ranked { score, worker_no }));
+    pub(super) fn new(scored: impl Iterator<Item = (f64, InstanceNo)>) -> Self {
+        let ranked = scored.map(|(score, instance_no)| Reverse(Ranked { score, instance_no }));
         Self { heap: ranked.collect() }
     }
 
@@ -56,14 +56,14 @@
     /// reinserted, and one that can't run the task is skipped.
     pub(super) fn take_best(
         &mut self,
-        mut rescore: impl FnMut(LifeNo) -> Option<f64>,
-    ) -> Option<LifeNo> {
+        mut rescore: impl FnMut(InstanceNo) -> Option<f64>,
+    ) -> Option<InstanceNo> {
         let mut skipped = Vec::new();
         let mut best_worker = None;
         while let Some(Reverse(best)) = self.heap.pop() {
-            match rescore(best.worker_no) {
+            match rescore(best.instance_no) {
                 Some(score) if score.total_cmp(&best.score).is_le() => {
-                    best_worker = Some(best.worker_no);
+                    best_worker = Some(best.instance_no);
                     break;
                 }
                 Some(score) => self.heap.push(Reverse(Ranked { score, ..best })),
@@ -76,7 +76,7 @@
     }
 
     /// Inserts a worker again after a task was placed on it.
-    pub(super) fn put_back(&mut self, worker_no: LifeNo, score: f64) {
-        self.heap.push(Reverse(Ranked { score, worker_no }));
+    pub(super) fn put_back(&mut self, instance_no: InstanceNo, score: f64) {
+        self.heap.push(Reverse(Ranked { score, instance_no }));
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/requests.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/requests.rs
@@ -5,8 +5,8 @@
     super::{
         event::{Action, CancelAnswer, JobState, RequestNo, SubmitAnswer},
         job::Job,
+        log_entry::LogEntry,
         names::JobId,
-        note::Note,
         record::Outcome,
         spec::{JobSpec, QueueTerms},
     },
@@ -27,8 +27,9 @@
         let takes_jobs = self.takes_jobs();
         let known = self.jobs.get_mut(&id);
         let is_known = ended || known.is_some();
-        let note = Note::Submitted { job: id, queue: queue.name.clone(), tasks, known: is_known };
-        self.out.push(Action::Note(note));
+        let entry =
+            LogEntry::Submitted { job: id, queue: queue.name.clone(), tasks, known: is_known };
+        self.out.push(Action::Log(entry));
         match known {
             _ if ended => self.out.push(Action::AnswerSubmit(request, SubmitAnswer::Accepted)),
             Some(job) if job.kept => {
@@ -95,7 +96,7 @@
             Outcome::Cancelled => JobState::Cancelled,
             Outcome::Completed | Outcome::Open => JobState::Completed,
         };
-        self.out.push(Action::Note(Note::JobEnded {
+        self.out.push(Action::Log(LogEntry::JobEnded {
             job: id,
             state,
             after_ms: self.now.since(job.accepted_at).as_millis() as u64,
@@ -151,12 +152,12 @@
     }
 
     fn stop_job_runs(&mut self, id: JobId) {
-        let runs = self.lives.iter().flat_map(|(life, worker)| {
+        let runs = self.instances.iter().flat_map(|(instance, worker)| {
             let of_job = worker.runs().iter().filter(move |(task, _)| task.job == id);
-            of_job.map(move |(&task, run)| (life, task, run.run))
+            of_job.map(move |(&task, run)| (instance, task, run.run))
         });
-        for (life, task, run) in runs.collect::<Vec<_>>() {
-            self.stop_run(life, task, run);
+        for (instance, task, run) in runs.collect::<Vec<_>>() {
+            self.stop_run(instance, task, run);
         }
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/short_work.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/short_work.rs
@@ -5,7 +5,7 @@
 use super::{
     super::{names::TaskName, spec::StepSpec},
     Scheduler,
-    room::capacity_millis,
+    free_capacity::capacity_millis,
 };
 use crate::Time;
 
@@ -80,13 +80,13 @@
     pub(super) fn update_short_work_need(&mut self, waiting: u32) {
         self.refresh_rooms();
         let (mut running, mut total_millis) = (0, 0.0);
-        for life in self.lives.values() {
-            running += life.room.as_ref().map_or(0, |room| room.short_tasks);
-            total_millis += capacity_millis(life);
+        for instance in self.instances.values() {
+            running += instance.room.as_ref().map_or(0, |room| room.short_tasks);
+            total_millis += capacity_millis(instance);
         }
         self.short_work.update_need(running + waiting, self.now);
         self.short_work.waiting = waiting;
-        self.short_work.capacity_millis = total_millis / self.lives.len().max(1) as f64;
+        self.short_work.capacity_millis = total_millis / self.instances.len().max(1) as f64;
     }
 
     /// Returns whether a long-running task that never ran waits so that short tasks find room.
@@ -126,8 +126,8 @@
     fn short_slots_and_places(&mut self, cpu_millis: u32) -> (u32, u32) {
         self.refresh_rooms();
         let (mut slots, mut places) = (0, 0);
-        for life in self.lives.values().filter(|life| life.takes_work(self.now)) {
-            let Some(room) = &life.room else { continue };
+        for instance in self.instances.values().filter(|instance| instance.takes_work(self.now)) {
+            let Some(room) = &instance.room else { continue };
             let free_millis = room.left.free.cpu_millis.0;
             slots += self.short_work.slots_in(free_millis) + room.short_tasks;
             places += free_millis / cpu_millis.max(1);
--- a/crates/kitetrail-core/src/jobs/scheduler/shrunk.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/shrunk.rs
@@ -5,34 +5,35 @@
 //! Tasks already running stay: they end by themselves, and stopping them would waste their work.
 
 use super::{
-    super::{life::LifeNo, names::TaskName, order::Order, run::Phase},
+    super::{instance::InstanceNo, names::TaskName, order::Order, run::Phase},
     Scheduler,
-    room::is_overcommitted,
+    free_capacity::is_overcommitted,
 };
 
 impl Scheduler {
     /// Takes back unsent starts, the last ones first, until the rest fits into the worker's
     /// capacity.
-    pub(super) fn take_back_unfit(&mut self, worker_no: LifeNo) {
-        while let Some((task, run)) = self.last_unfit_start(worker_no) {
-            if let Some(life) = self.lives.get_mut(worker_no) {
-                life.orders.retain(|order| {
+    pub(super) fn take_back_unfit(&mut self, instance_no: InstanceNo) {
+        while let Some((task, run)) = self.last_unfit_start(instance_no) {
+            if let Some(instance) = self.instances.get_mut(instance_no) {
+                instance.orders.retain(|order| {
                     order.run() != (task, run) || !matches!(order, Order::Start(_))
                 });
             }
-            self.drop_run(worker_no, task, run);
+            self.drop_run(instance_no, task, run);
             self.stop_gang(task, run);
         }
     }
 
     /// Returns the last unsent start for a worker that is overcommitted.
-    fn last_unfit_start(&self, worker_no: LifeNo) -> Option<(TaskName, u32)> {
-        let life = self.lives.get(worker_no).filter(|life| is_overcommitted(life))?;
-        let unsent = life.orders.iter().rev().find_map(|order| match order {
+    fn last_unfit_start(&self, instance_no: InstanceNo) -> Option<(TaskName, u32)> {
+        let instance =
+            self.instances.get(instance_no).filter(|instance| is_overcommitted(instance))?;
+        let unsent = instance.orders.iter().rev().find_map(|order| match order {
             Order::Start(start) => Some((start.task, start.run)),
             Order::Stop { .. } | Order::Pace { .. } => None,
         });
-        let unpersisted = || life.runs().iter().find(|(_, run)| run.phase == Phase::Unkept);
+        let unpersisted = || instance.runs().iter().find(|(_, run)| run.phase == Phase::Unkept);
         unsent.or_else(|| unpersisted().map(|(&task, run)| (task, run.run)))
     }
 
@@ -48,7 +49,7 @@
             });
         let members = placed.filter(|(_, placed)| placed.run == run).collect::<Vec<_>>();
         for (task, placed) in members {
-            self.stop_run(placed.life, task, placed.run);
+            self.stop_run(placed.instance, task, placed.run);
         }
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/slowed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/slowed.rs
@@ -4,13 +4,13 @@
 
 use super::{
     super::{
-        life::{Life, LifeNo},
+        instance::{InstanceNo, WorkerInstance},
         names::TaskName,
-        run::RunThere,
+        run::PlacedRun,
         spec::StepSpec,
     },
     Scheduler,
-    room::capacity_millis,
+    free_capacity::capacity_millis,
 };
 use crate::Time;
 
@@ -28,10 +28,12 @@
 impl Scheduler {
     /// Moves best-effort runs that have been slowed for long, if they keep their progress and would
     /// run faster elsewhere.
-    pub(super) fn move_slowed(&mut self, from: LifeNo) {
-        let Some(life) = self.lives.get(from).filter(|_| self.overload.may_move()) else { return };
+    pub(super) fn move_slowed(&mut self, from: InstanceNo) {
+        let Some(instance) = self.instances.get(from).filter(|_| self.overload.may_move()) else {
+            return;
+        };
         let now = self.now;
-        let runs = life.runs().iter().filter(|(_, run)| is_slowed(life, run, now));
+        let runs = instance.runs().iter().filter(|(_, run)| is_slowed(instance, run, now));
         let runs = runs.map(|(&task, run)| (task, run.run)).take(MAX_MOVES_PER_REPORT);
         for (task, run) in runs.collect::<Vec<_>>() {
             let Some(spec) = self.step_spec(task).cloned() else { continue };
@@ -46,20 +48,25 @@
 
     /// Returns the share of its full speed at which a best-effort task would run on a worker, 0 to
     /// 1.
-    fn expected_pace(&mut self, worker_no: LifeNo, name: TaskName, spec: &StepSpec) -> Option<f64> {
+    fn expected_pace(
+        &mut self,
+        instance_no: InstanceNo,
+        name: TaskName,
+        spec: &StepSpec,
+    ) -> Option<f64> {
         self.refresh_rooms();
-        let life = self.lives.get(worker_no)?;
+        let instance = self.instances.get(instance_no)?;
         let image = *self.jobs.get(&name.job)?.images.get(name.step as usize)?;
-        let load = f64::from(spec.size.cpu_millis.0) / capacity_millis(life);
-        let headroom = life.room.as_ref()?.headroom(life, &self.tails);
+        let load = f64::from(spec.size.cpu_millis.0) / capacity_millis(instance);
+        let headroom = instance.room.as_ref()?.headroom(instance, &self.tails);
         Some(headroom.expected_pace(&self.tails, image, load, 0.0))
     }
 }
 
 /// Returns whether a run has been slowed for long, can be moved and has enough work left.
-fn is_slowed(life: &Life, run: &RunThere, now: Time) -> bool {
+fn is_slowed(instance: &WorkerInstance, run: &PlacedRun, now: Time) -> bool {
     let is_movable = run.fills && run.keeps_progress && !run.stopping;
-    let slowed = life
+    let slowed = instance
         .paces
         .get(&run.image)
         .is_some_and(|pace| pace.percent <= SLOWED_PERCENT && now.since(pace.since) >= SLOWED_TIME);
--- a/crates/kitetrail-core/src/jobs/scheduler/stragglers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/stragglers.rs
@@ -5,9 +5,9 @@
 
 use super::{
     super::{
-        life::{Life, LifeNo},
+        instance::{InstanceNo, WorkerInstance},
         names::TaskName,
-        run::{Phase, RunThere},
+        run::{Phase, PlacedRun},
         steps::Task,
     },
     Scheduler,
@@ -59,37 +59,37 @@
 
 impl Scheduler {
     /// Checks the progress of all runs of a worker after a report.
-    pub(super) fn check_progress(&mut self, worker_no: LifeNo) {
+    pub(super) fn check_progress(&mut self, instance_no: InstanceNo) {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(worker_no) else { return };
-        let ProgressCheck { stalled, others, progressing } = measure_progress(life, now);
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        let ProgressCheck { stalled, others, progressing } = measure_progress(instance, now);
         if stalled.len() >= HUNG_WORKER_STALLED_RUNS && progressing == 0 {
-            self.set_aside_hanging(worker_no);
+            self.set_aside_hanging(instance_no);
         }
         for task in stalled {
-            self.copy_or_move(worker_no, task, Problem::Stalled);
+            self.copy_or_move(instance_no, task, Problem::Stalled);
         }
         for task in others {
-            if self.is_slow(worker_no, task) {
-                self.copy_or_move(worker_no, task, Problem::Slow);
+            if self.is_slow(instance_no, task) {
+                self.copy_or_move(instance_no, task, Problem::Slow);
             }
         }
     }
 
     /// Starts copies of the runs on a silent worker that may be copied.
-    pub(super) fn copy_from_silent(&mut self, worker_no: LifeNo) {
-        let Some(life) = self.lives.get(worker_no) else { return };
-        for task in life.runs().keys().copied().collect::<Vec<_>>() {
+    pub(super) fn copy_from_silent(&mut self, instance_no: InstanceNo) {
+        let Some(instance) = self.instances.get(instance_no) else { return };
+        for task in instance.runs().keys().copied().collect::<Vec<_>>() {
             if self.step_spec(task).is_some_and(|step| step.copies_allowed) {
-                self.start_copy(worker_no, task);
+                self.start_copy(instance_no, task);
             }
         }
     }
 
     /// Returns whether a run will take much longer than others of its step, and longer than a
     /// restart.
-    fn is_slow(&self, worker_no: LifeNo, task: TaskName) -> bool {
-        let run = self.lives.get(worker_no).and_then(|life| life.runs().get(&task));
+    fn is_slow(&self, instance_no: InstanceNo, task: TaskName) -> bool {
+        let run = self.instances.get(instance_no).and_then(|instance| instance.runs().get(&task));
         let expected_ms = self.expected_ms(task);
         let (Some(run), Some(expected_ms)) = (run, expected_ms) else { return false };
         let Some(total_ms) = predicted_total_ms(run, self.now) else { return false };
@@ -112,7 +112,7 @@
     }
 
     /// Starts a copy of a stalled or slow run, or moves it, if that pays off.
-    fn copy_or_move(&mut self, worker_no: LifeNo, task: TaskName, problem: Problem) {
+    fn copy_or_move(&mut self, instance_no: InstanceNo, task: TaskName, problem: Problem) {
         if !self.overload.may_move() {
             return;
         }
@@ -121,7 +121,7 @@
             return;
         }
         if spec.copies_allowed {
-            return self.start_copy(worker_no, task);
+            return self.start_copy(instance_no, task);
         }
         // A paced run is slow because the scheduler slowed it.
         if spec.fills && problem == Problem::Slow {
@@ -132,11 +132,14 @@
             return;
         }
         let other_worker =
-            self.choose(task, &spec, &[]).filter(|&other_worker| other_worker != worker_no);
-        let run =
-            self.lives.get(worker_no).and_then(|life| life.runs().get(&task)).map(|run| run.run);
+            self.choose(task, &spec, &[]).filter(|&other_worker| other_worker != instance_no);
+        let run = self
+            .instances
+            .get(instance_no)
+            .and_then(|instance| instance.runs().get(&task))
+            .map(|run| run.run);
         let (Some(_), Some(run)) = (other_worker, run) else { return };
-        self.avoid(task, worker_no);
+        self.avoid(task, instance_no);
         let why = match problem {
             Problem::Stalled => "moved: it makes no progress",
             Problem::Slow => "moved: it is slower than other tasks of its step",
@@ -144,30 +147,30 @@
         if let Some(task) = self.task_mut(task).filter(|_| problem == Problem::Slow) {
             task.slow_moves += 1;
         }
-        self.move_run(worker_no, task, run, why);
+        self.move_run(instance_no, task, run, why);
     }
 
     /// Starts a second run of a task beside its only run. A task that may crash its worker is not
     /// copied, since that could cost two workers.
-    fn start_copy(&mut self, worker_no: LifeNo, name: TaskName) {
+    fn start_copy(&mut self, instance_no: InstanceNo, name: TaskName) {
         let Some(spec) = self.step_spec(name).cloned() else { return };
         let Some(job) = self.jobs.get(&name.job).filter(|job| job.is_open()) else { return };
         let task = job.task(name);
         if task.is_none_or(|task| task.done || task.placed.len() != 1 || task.watched) {
             return;
         }
-        self.avoid(name, worker_no);
+        self.avoid(name, instance_no);
         if let Some(other_worker) =
-            self.choose(name, &spec, &[]).filter(|&other_worker| other_worker != worker_no)
+            self.choose(name, &spec, &[]).filter(|&other_worker| other_worker != instance_no)
         {
             self.start(name, other_worker, &spec, None);
         }
     }
 }
 
-fn measure_progress(life: &mut Life, now: Time) -> ProgressCheck {
+fn measure_progress(instance: &mut WorkerInstance, now: Time) -> ProgressCheck {
     let mut check = ProgressCheck::default();
-    for (task, run) in life.runs_mut().filter(|(_, run)| has_meaningful_percent(run)) {
+    for (task, run) in instance.runs_mut().filter(|(_, run)| has_meaningful_percent(run)) {
         if run.percent > run.progress.percent {
             run.progress.percent = run.percent;
             run.progress.rose_at = now;
@@ -184,25 +187,25 @@
 }
 
 /// Returns whether the reported percent of a run tells how much of its work is done.
-fn has_meaningful_percent(run: &RunThere) -> bool {
+fn has_meaningful_percent(run: &PlacedRun) -> bool {
     let is_slowed_down = run.fills && run.paced_percent < LOW_PACE_PERCENT;
     run.is_running() && !run.stopping && !run.lasts && !is_slowed_down
 }
 
 /// Returns the predicted duration of a run at its present speed, in milliseconds.
-fn predicted_total_ms(run: &RunThere, now: Time) -> Option<f64> {
+fn predicted_total_ms(run: &PlacedRun, now: Time) -> Option<f64> {
     let elapsed_ms = elapsed_ms(run, now)?;
     let gained_percent = run.percent.saturating_sub(run.progress.from_percent);
     (gained_percent >= MIN_PROGRESS).then(|| elapsed_ms * 100.0 / f64::from(gained_percent))
 }
 
 /// Returns how long a run will still take at its present speed, in milliseconds.
-pub(super) fn left_ms(run: &RunThere, now: Time) -> Option<f64> {
+pub(super) fn left_ms(run: &PlacedRun, now: Time) -> Option<f64> {
     let total_ms = predicted_total_ms(run, now)?;
     Some(total_ms * f64::from(100 - run.percent.min(100)) / 100.0)
 }
 
-fn elapsed_ms(run: &RunThere, now: Time) -> Option<f64> {
+fn elapsed_ms(run: &PlacedRun, now: Time) -> Option<f64> {
     let Phase::Running(since) = run.phase else { return None };
     Some(now.since(since).as_secs_f64() * 1_000.0)
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/unkept_ends.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/unkept_ends.rs
@@ -2,12 +2,12 @@
 
 use std::collections::VecDeque;
 
-use super::super::life::LifeNo;
+use super::super::instance::InstanceNo;
 
 /// An end reported by a worker.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ToldEnd {
-    pub(super) life: LifeNo,
+    pub(super) instance: InstanceNo,
     /// The worker's number of the end.
     pub(super) number: u64,
     /// Our sequence number. The changes caused by the end wait to be persisted under this number or
@@ -39,9 +39,9 @@
     }
 
     /// Records an end, before the changes that it causes.
-    pub(super) fn push(&mut self, life: LifeNo, number: u64) {
+    pub(super) fn push(&mut self, instance: InstanceNo, number: u64) {
         self.last_seq += 1;
-        self.reported.push_back(ToldEnd { life, number, seq: self.last_seq });
+        self.reported.push_back(ToldEnd { instance, number, seq: self.last_seq });
     }
 
     /// Removes and returns the persisted ends, given the number of the oldest change that is not
--- a/crates/kitetrail-core/src/jobs/scheduler/unlisted.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/unlisted.rs
@@ -10,9 +10,9 @@
 
 use super::{
     super::{
-        life::{LifeNo, Listing},
-        names::{LifeId, TaskName},
-        run::RunThere,
+        instance::{InstanceNo, Listing},
+        names::{TaskName, WorkerName},
+        run::PlacedRun,
     },
     Scheduler,
 };
@@ -34,8 +34,8 @@
     pub(super) fn record_store_outage(&mut self, until: Time) {
         self.store_outage_until = self.store_outage_until.max(Some(until));
         let (now, returns_by) = (self.now, until + RELIST_GRACE_PERIOD);
-        for life in self.lives.values_mut() {
-            match &mut life.listing {
+        for instance in self.instances.values_mut() {
+            match &mut instance.listing {
                 Listing::Gone { certain_at } if *certain_at > now => {
                     *certain_at = returns_by.max(*certain_at);
                 }
@@ -46,18 +46,19 @@
 
     /// Handles the removal of a worker's entry from the list, given the time since its last
     /// heartbeat.
-    pub(super) fn handle_unlisted(&mut self, id: &LifeId, silent_for: Option<Duration>) {
-        for life_no in self.lives.of_worker(id).to_vec() {
-            self.mark_unlisted(life_no, self.classify_removal(silent_for));
+    pub(super) fn handle_unlisted(&mut self, id: &WorkerName, silent_for: Option<Duration>) {
+        for instance_no in self.instances.of_worker(id).to_vec() {
+            self.mark_unlisted(instance_no, self.classify_removal(silent_for));
         }
     }
 
     /// Marks workers as unlisted that earlier owners used and that the complete list does not
     /// contain.
     pub(super) fn mark_unread_unlisted(&mut self) {
-        let unread = self.lives.iter().filter(|(_, life)| life.listing == Listing::Unread);
-        for life_no in unread.map(|(life_no, _)| life_no).collect::<Vec<_>>() {
-            self.mark_unlisted(life_no, self.classify_removal(None));
+        let unread =
+            self.instances.iter().filter(|(_, instance)| instance.listing == Listing::Unread);
+        for instance_no in unread.map(|(instance_no, _)| instance_no).collect::<Vec<_>>() {
+            self.mark_unlisted(instance_no, self.classify_removal(None));
         }
     }
 
@@ -66,8 +67,9 @@
     /// A worker marked `draining` may be emptied at once. One that is only missing from the list
     /// may be healthy, so the number of missing tasks of a step must stay within the limit set by
     /// the caller.
-    pub(super) fn may_move_run(&self, life_no: LifeNo, task: TaskName) -> bool {
-        let draining = self.lives.get(life_no).is_some_and(|life| life.entry.draining);
+    pub(super) fn may_move_run(&self, instance_no: InstanceNo, task: TaskName) -> bool {
+        let draining =
+            self.instances.get(instance_no).is_some_and(|instance| instance.entry.draining);
         let may_miss = self.step_spec(task).and_then(|spec| spec.may_miss);
         draining || may_miss.is_none_or(|may_miss| self.others_missing(task) < may_miss as usize)
     }
@@ -89,15 +91,15 @@
         }
     }
 
-    fn mark_unlisted(&mut self, life_no: LifeNo, listing: Listing) {
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        life.listing = listing;
+    fn mark_unlisted(&mut self, instance_no: InstanceNo, listing: Listing) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        instance.listing = listing;
         let belief = match listing {
             Listing::Lapsed => "not listed: its heartbeats stopped",
             _ => "not listed",
         };
-        self.log_worker_state(life_no, belief);
-        self.schedule_hold_within(life_no, Duration::ZERO);
+        self.log_worker_state(instance_no, belief);
+        self.schedule_hold_within(instance_no, Duration::ZERO);
     }
 
     /// Returns the number of other tasks of the step that are not known to be working.
@@ -114,8 +116,11 @@
         let placed =
             self.jobs.get(&name.job).and_then(|job| job.task(name)).map(|task| &task.placed);
         placed.into_iter().flatten().any(|placed| {
-            let life = self.lives.get(placed.life).filter(|life| life.silent == 0);
-            life.and_then(|life| life.runs().get(&name)).is_some_and(RunThere::is_at_work)
+            let instance =
+                self.instances.get(placed.instance).filter(|instance| instance.silent == 0);
+            instance
+                .and_then(|instance| instance.runs().get(&name))
+                .is_some_and(PlacedRun::is_at_work)
         })
     }
 }
