--- a/crates/kitetrail-core/src/jobs/scheduler/unusable.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/unusable.rs
@@ -10,8 +10,8 @@
 
 use super::{
     super::{
-        life::{LifeNo, Listing},
-        names::LifeId,
+        instance::{InstanceNo, Listing},
+        names::WorkerName,
         worker_entry::WorkerEntry,
     },
     Scheduler,
@@ -19,20 +19,20 @@
 
 impl Scheduler {
     /// Handles an entry that is incomplete or can't have been written by its worker.
-    pub(super) fn handle_unusable_entry(&mut self, id: &LifeId) {
+    pub(super) fn handle_unusable_entry(&mut self, id: &WorkerName) {
         self.unused_service_entries.remove(id);
-        for life_no in self.lives.of_worker(id).to_vec() {
-            self.mark_life_unusable(life_no);
+        for instance_no in self.instances.of_worker(id).to_vec() {
+            self.mark_instance_unusable(instance_no);
         }
     }
 
-    fn mark_life_unusable(&mut self, life_no: LifeNo) {
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        if life.listing == Listing::Unusable {
+    fn mark_instance_unusable(&mut self, instance_no: InstanceNo) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        if instance.listing == Listing::Unusable {
             return;
         }
-        life.listing = Listing::Unusable;
-        self.log_worker_state(life_no, "not used, its entry can't be its own");
+        instance.listing = Listing::Unusable;
+        self.log_worker_state(instance_no, "not used, its entry can't be its own");
     }
 
     /// Returns whether a worker runs a service that no queue uses.
--- a/crates/kitetrail-core/src/jobs/scheduler/workers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/workers.rs
@@ -5,9 +5,9 @@
 use super::{
     super::{
         event::Discovery,
-        life::{Life, LifeEnd, LifeNo, Listing},
+        instance::{InstanceEnd, InstanceNo, Listing, WorkerInstance},
         report::Report,
-        run::RunThere,
+        run::PlacedRun,
         worker_entry::WorkerEntry,
     },
     Scheduler,
@@ -45,21 +45,26 @@
     }
 
     /// Ends earlier incarnations at the place of one that answered a hold sent at a given time.
-    pub(super) fn end_earlier_lives(&mut self, life_no: LifeNo, sent_at: Time, report: &Report) {
-        let Some(life) = self.lives.get(life_no) else { return };
-        let entry = Arc::clone(&life.entry);
+    pub(super) fn end_earlier_instances(
+        &mut self,
+        instance_no: InstanceNo,
+        sent_at: Time,
+        report: &Report,
+    ) {
+        let Some(instance) = self.instances.get(instance_no) else { return };
+        let entry = Arc::clone(&instance.entry);
         let earlier = self
-            .lives
+            .instances
             .iter()
             .filter(|(_, other)| other.shares_place(&entry) && other.precedes(sent_at))
-            .map(|(life_no, other)| (life_no, other.id() == &entry.id));
+            .map(|(instance_no, other)| (instance_no, other.id() == &entry.id));
         for (earlier, same_id) in earlier.collect::<Vec<_>>() {
             if same_id {
-                self.transfer_runs(earlier, life_no, report);
-                self.log_worker_restart(earlier, life_no);
+                self.transfer_runs(earlier, instance_no, report);
+                self.log_worker_restart(earlier, instance_no);
             }
-            let end = if same_id { LifeEnd::StartedAgain } else { LifeEnd::LaterAnswers };
-            self.end_life(earlier, end);
+            let end = if same_id { InstanceEnd::StartedAgain } else { InstanceEnd::LaterAnswers };
+            self.end_instance(earlier, end);
         }
     }
 
@@ -67,69 +72,71 @@
     ///
     /// A crashed worker reports no ends, so the cause of the crash is derived here: a run lost with
     /// its worker may have caused the loss.
-    pub(super) fn end_life(&mut self, life_no: LifeNo, end: LifeEnd) {
-        self.log_worker_state(life_no, end.why());
-        let suspects = self.crash_suspects(life_no, end);
-        self.drop_all_runs(life_no, end.why());
-        let Some(life) = self.lives.remove(life_no) else { return };
-        self.inherited_crashed |= self.unheard.remove(&life_no);
-        self.record_lost_worker(&life);
-        self.record_crash(&life.entry.key(), suspects);
-        self.pending.end_life(life_no, life.entry.key(), life.recorded);
-        self.resolve_contest(life.id());
+    pub(super) fn end_instance(&mut self, instance_no: InstanceNo, end: InstanceEnd) {
+        self.log_worker_state(instance_no, end.why());
+        let suspects = self.crash_suspects(instance_no, end);
+        self.drop_all_runs(instance_no, end.why());
+        let Some(instance) = self.instances.remove(instance_no) else { return };
+        self.inherited_crashed |= self.unheard.remove(&instance_no);
+        self.record_lost_worker(&instance);
+        self.record_crash(&instance.entry.key(), suspects);
+        self.pending.remove_instance(instance_no, instance.entry.key(), instance.recorded);
+        self.resolve_contest(instance.id());
         self.placement_needed = true;
     }
 
     /// Applies time-based changes to an incarnation: expired leases and due holds.
-    pub(super) fn check_life(&mut self, life_no: LifeNo) {
-        self.stop_leasing_if_silent(life_no);
-        let lease_has_expired = self.silent_lease_has_expired(life_no);
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        let grace_is_over = self.now.since(life.lapses_at) >= LATE_ANSWER_GRACE;
+    pub(super) fn check_instance(&mut self, instance_no: InstanceNo) {
+        self.stop_leasing_if_silent(instance_no);
+        let lease_has_expired = self.silent_lease_has_expired(instance_no);
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        let grace_is_over = self.now.since(instance.lapses_at) >= LATE_ANSWER_GRACE;
         match lease_has_expired {
-            true if life.is_missing() => {
-                return self.end_life(life_no, LifeEnd::Gone);
+            true if instance.is_missing() => {
+                return self.end_instance(instance_no, InstanceEnd::Gone);
             }
             // The ends of its runs may be in answers that were received but not read, so a lagging
             // owner polls again.
-            true if life.silent_for_sure || grace_is_over => {
-                self.inherited_crashed |= self.unheard.remove(&life_no);
-                self.drop_runs_of_silent_worker(life_no);
+            true if instance.silent_for_sure || grace_is_over => {
+                self.inherited_crashed |= self.unheard.remove(&instance_no);
+                self.drop_runs_of_silent_worker(instance_no);
             }
             _ => {}
         }
-        self.send_hold_if_due(life_no);
-        self.evacuate_worker(life_no);
+        self.send_hold_if_due(instance_no);
+        self.evacuate_worker(instance_no);
     }
 
     /// Moves the runs that would be lost with a leaving worker, as capacity elsewhere allows.
-    fn evacuate_worker(&mut self, life_no: LifeNo) {
+    fn evacuate_worker(&mut self, instance_no: InstanceNo) {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(life_no).filter(|life| life.is_leaving(now)) else {
+        let Some(instance) =
+            self.instances.get_mut(instance_no).filter(|instance| instance.is_leaving(now))
+        else {
             return;
         };
-        if life.evacuated_at.is_some_and(|time| now.since(time) < EVACUATION_INTERVAL) {
+        if instance.evacuated_at.is_some_and(|time| now.since(time) < EVACUATION_INTERVAL) {
             return;
         }
-        life.evacuated_at = Some(now);
-        let must_move = |run: &RunThere| {
+        instance.evacuated_at = Some(now);
+        let must_move = |run: &PlacedRun| {
             let saved = run.keeps_progress && run.percent < MAX_PERCENT_TO_MOVE;
             !run.stopping && run.is_running() && (run.lasts || saved)
         };
-        let runs = life.runs().iter().filter(|(_, run)| must_move(run));
+        let runs = instance.runs().iter().filter(|(_, run)| must_move(run));
         for (task, run) in runs.map(|(&task, run)| (task, run.run)).collect::<Vec<_>>() {
             let Some(spec) = self.step_spec(task).cloned() else { continue };
-            if self.may_move_run(life_no, task) && self.choose(task, &spec, &[]).is_some() {
-                self.move_run(life_no, task, run, "moved: its worker is leaving");
+            if self.may_move_run(instance_no, task) && self.choose(task, &spec, &[]).is_some() {
+                self.move_run(instance_no, task, run, "moved: its worker is leaving");
             }
         }
     }
 
     pub(super) fn handle_listed_entry(&mut self, entry: WorkerEntry) {
         self.unused_service_entries.remove(&entry.id);
-        match self.find_life_for_entry(&entry) {
-            Some(life_no) => self.update_listed_life(life_no, entry),
-            None => self.add_listed_life(entry),
+        match self.find_instance_for_entry(&entry) {
+            Some(instance_no) => self.update_listed_instance(instance_no, entry),
+            None => self.add_listed_instance(entry),
         }
     }
 
@@ -137,27 +144,27 @@
     ///
     /// A draining incarnation never returns to service: an entry that says otherwise was written
     /// earlier and arrived late.
-    fn update_listed_life(&mut self, life_no: LifeNo, mut entry: WorkerEntry) {
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        entry.draining |= life.entry.draining;
-        entry.incarnation = life.entry.incarnation;
-        let was_listed = life.listing == Listing::Listed;
-        let belief = match (entry.draining && !life.entry.draining, was_listed) {
+    fn update_listed_instance(&mut self, instance_no: InstanceNo, mut entry: WorkerEntry) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        entry.draining |= instance.entry.draining;
+        entry.incarnation = instance.entry.incarnation;
+        let was_listed = instance.listing == Listing::Listed;
+        let belief = match (entry.draining && !instance.entry.draining, was_listed) {
             (true, _) => Some("draining"),
             (false, false) => Some("listed again"),
             (false, true) => None,
         };
-        let shrank = !life.entry.capacity.fits_in(&entry.capacity);
-        life.listing = Listing::Listed;
-        life.entry = Arc::new(entry);
-        life.room = None;
-        self.lives.note_listed(life_no);
-        self.update_zone_status(life_no);
+        let shrank = !instance.entry.capacity.fits_in(&entry.capacity);
+        instance.listing = Listing::Listed;
+        instance.entry = Arc::new(entry);
+        instance.room = None;
+        self.instances.note_listed(instance_no);
+        self.update_zone_status(instance_no);
         if shrank {
-            self.take_back_unfit(life_no);
+            self.take_back_unfit(instance_no);
         }
         if let Some(belief) = belief {
-            self.log_worker_state(life_no, belief);
+            self.log_worker_state(instance_no, belief);
         }
     }
 
@@ -166,25 +173,26 @@
     /// The entry does not prove that other incarnations at its place are over: entries of an ended
     /// incarnation may arrive after those of its successor. Answers to holds show which of them are
     /// alive.
-    fn add_listed_life(&mut self, entry: WorkerEntry) {
+    fn add_listed_instance(&mut self, entry: WorkerEntry) {
         // No other owner has leased on a worker that is new to the list, or the worker's record
         // would say so.
         let fell_of_late = self.has_lost_worker_at(&entry.address);
-        let life_no = self.insert_life(entry, self.now);
-        if let Some(life) = self.lives.get_mut(life_no) {
-            life.fell_of_late = fell_of_late;
+        let instance_no = self.insert_instance(entry, self.now);
+        if let Some(instance) = self.instances.get_mut(instance_no) {
+            instance.fell_of_late = fell_of_late;
         }
-        self.pending.add_life(life_no);
-        self.log_worker_state(life_no, "listed");
-        self.mark_contested(life_no);
-        self.send_hold_if_due(life_no);
+        self.pending.add_instance(instance_no);
+        self.log_worker_state(instance_no, "listed");
+        self.mark_contested(instance_no);
+        self.send_hold_if_due(instance_no);
     }
 
-    pub(super) fn insert_life(&mut self, entry: WorkerEntry, lapses_at: Time) -> LifeNo {
+    pub(super) fn insert_instance(&mut self, entry: WorkerEntry, lapses_at: Time) -> InstanceNo {
         let lost_token = self.lost_worker_token(&entry.id);
         let token = lost_token.map_or(self.initial_token(), |token| token + 1);
-        let life_no = self.lives.push(Life::new(entry, token, lapses_at, self.now));
-        self.update_zone_status(life_no);
-        life_no
+        let instance_no =
+            self.instances.push(WorkerInstance::new(entry, token, lapses_at, self.now));
+        self.update_zone_status(instance_no);
+        instance_no
     }
 }
--- a/crates/kitetrail-core/src/jobs/steps.rs
+++ b/crates/kitetrail-core/src/jobs/steps.rs
@@ -4,7 +4,7 @@
 
 use super::{
     crashes::TaskCrashes,
-    life::LifeNo,
+    instance::InstanceNo,
     names::TaskName,
     record::StepProgress,
     spec::{JobSpec, StepSpec},
@@ -14,7 +14,7 @@
 /// The placement of a run on a worker instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Placement {
-    pub(super) life: LifeNo,
+    pub(super) instance: InstanceNo,
     pub(super) run: u32,
 }
 
@@ -30,7 +30,7 @@
     /// The time before which the task is not placed again, after a failure.
     pub(super) not_before: Option<Time>,
     /// The worker instance of the last failed run.
-    pub(super) avoid: Option<LifeNo>,
+    pub(super) avoid: Option<InstanceNo>,
     /// The number of times that the task was moved because it was slow.
     pub(super) slow_moves: u32,
     /// The crashes of workers that ran the task.
--- a/crates/kitetrail-core/src/jobs/worker_entry.rs
+++ b/crates/kitetrail-core/src/jobs/worker_entry.rs
@@ -1,13 +1,13 @@
 //! An entry in the list of workers.
 
-use super::names::{Incarnation, LifeId, LifeKey};
+use super::names::{Incarnation, InstanceKey, WorkerName};
 use crate::Resources;
 
 /// An entry in the list of workers, as written by the worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerEntry {
     /// The id of the worker.
-    pub id: LifeId,
+    pub id: WorkerName,
     /// The incarnation that wrote the entry, if the platform reports it.
     pub incarnation: Option<Incarnation>,
     /// The machine that the worker runs on, if given.
@@ -32,7 +32,7 @@
 
 impl WorkerEntry {
     /// Returns the key of the worker instance that wrote the entry.
-    pub fn key(&self) -> LifeKey {
-        LifeKey { id: self.id.clone(), incarnation: self.incarnation }
+    pub fn key(&self) -> InstanceKey {
+        InstanceKey { id: self.id.clone(), incarnation: self.incarnation }
     }
 }
--- a/crates/kitetrail-core/tests/fleet/crashes.rs
+++ b/crates/kitetrail-core/tests/fleet/crashes.rs
@@ -4,7 +4,7 @@
 
 use kitetrail_core::{
     Time,
-    jobs::{Discovery, Event, Note, TaskName},
+    jobs::{Discovery, Event, LogEntry, TaskName},
 };
 
 use super::{Mood, World};
@@ -83,8 +83,8 @@
 
     /// Returns the number of crashes that the scheduler counted against tasks.
     pub fn crashes_noticed(&self) -> usize {
-        let is_crash = |note: &Note| matches!(note, Note::CrashedUnder { .. });
-        self.notes.iter().filter(|(_, note)| is_crash(note)).count()
+        let is_crash = |entry: &LogEntry| matches!(entry, LogEntry::CrashedUnder { .. });
+        self.log_entries.iter().filter(|(_, entry)| is_crash(entry)).count()
     }
 
     /// Advances crashes, returns and lapses by one step of the clock.
--- a/crates/kitetrail-core/tests/fleet/listing.rs
+++ b/crates/kitetrail-core/tests/fleet/listing.rs
@@ -28,7 +28,7 @@
         let worker = self.workers.remove(id).expect("the fleet has this worker");
         let entry = WorkerEntry { id: new_id.into(), ..worker.entry.clone() };
         self.workers.insert(new_id.to_owned(), FakeWorker::with_entry(entry));
-        self.replaced_lives.insert(id.to_owned());
+        self.replaced_instances.insert(id.to_owned());
         worker.entry
     }
 
--- a/crates/kitetrail-core/tests/fleet/mod.rs
+++ b/crates/kitetrail-core/tests/fleet/mod.rs
@@ -19,9 +19,9 @@
 use kitetrail_core::{
     Time,
     jobs::{
-        Action, EffectsRecord, Event, Hold, HoldFailure, HowEnded, Inheritance, JobId, JobRecord,
-        JobSpec, JobState, LifeNo, LifeRecord, Note, Order, OrderAnswer, Outcome, ProgressRecord,
-        Record, RequestNo, Scheduler, SubmitAnswer, TaskName, WorkerEntry,
+        Action, EffectsRecord, Event, Hold, HoldFailure, HowEnded, Inheritance, InstanceNo,
+        InstanceRecord, JobId, JobRecord, JobSpec, JobState, LogEntry, Order, OrderAnswer, Outcome,
+        ProgressRecord, Record, RequestNo, Scheduler, SubmitAnswer, TaskName, WorkerEntry,
     },
 };
 
@@ -50,7 +50,7 @@
     pub now: Time,
     pub scheduler: Scheduler,
     pub workers: BTreeMap<String, FakeWorker>,
-    pub notes: Vec<(Time, Note)>,
+    pub log_entries: Vec<(Time, LogEntry)>,
     pub answers: Vec<(Time, Action)>,
     /// The starts of runs, in order: the time, the task, the run and the worker.
     pub starts: Vec<(Time, TaskName, u32, String)>,
@@ -59,16 +59,16 @@
     /// The contents of the store: this field and the next three.
     pub jobs: BTreeMap<JobId, JobRecord>,
     pub progress: BTreeMap<JobId, ProgressRecord>,
-    pub lives: BTreeMap<String, LifeRecord>,
+    pub instances: BTreeMap<String, InstanceRecord>,
     pub effects: EffectsRecord,
     /// The tasks that crash their workers, and a record of the crashes.
     pub crashes: Crashes,
     /// Lives of workers that crashed and were replaced: on their machines a new life answers.
-    replaced_lives: BTreeSet<String>,
+    replaced_instances: BTreeSet<String>,
     /// The holds for replaced lives, which reached the new life.
-    holds_to_replaced_lives: Vec<(LifeNo, Hold, Time)>,
+    polls_to_replaced_instances: Vec<(InstanceNo, Hold, Time)>,
     /// The holds whose connection broke when their worker crashed.
-    interrupted_holds: Vec<(LifeNo, Hold, Time)>,
+    interrupted_holds: Vec<(InstanceNo, Hold, Time)>,
     /// The delay of answers to orders.
     pub order_answers_take: Duration,
     order_answers: VecDeque<(Time, Event)>,
@@ -124,17 +124,17 @@
             now: Time::from_ms(1_000),
             scheduler: scheduler(1, Inheritance::default(), Time::from_ms(1_000)),
             workers: workers.into_iter().map(by_id).collect(),
-            notes: Vec::new(),
+            log_entries: Vec::new(),
             answers: Vec::new(),
             starts: Vec::new(),
             start_orders: Vec::new(),
             jobs: BTreeMap::new(),
             progress: BTreeMap::new(),
-            lives: BTreeMap::new(),
+            instances: BTreeMap::new(),
             effects: EffectsRecord::default(),
             crashes: Crashes::default(),
-            replaced_lives: BTreeSet::new(),
-            holds_to_replaced_lives: Vec::new(),
+            replaced_instances: BTreeSet::new(),
+            polls_to_replaced_instances: Vec::new(),
             interrupted_holds: Vec::new(),
             order_answers_take: Duration::ZERO,
             order_answers: VecDeque::new(),
@@ -190,18 +190,18 @@
         self.scheduler.state(JobId(id))
     }
 
-    /// Returns the final state of a job from the scheduler's notes, even if the scheduler has dropped the job.
+    /// Returns the final state of a job from the scheduler's log entries, even if the scheduler has dropped the job.
     pub fn final_state(&self, id: u64) -> Option<JobState> {
-        self.notes.iter().rev().find_map(|(_, note)| match note {
-            Note::JobEnded { job, state, .. } if *job == JobId(id) => Some(*state),
+        self.log_entries.iter().rev().find_map(|(_, entry)| match entry {
+            LogEntry::JobEnded { job, state, .. } if *job == JobId(id) => Some(*state),
             _ => None,
         })
     }
 
     /// Returns the time from a moment until a job was completed, `None` if it was not.
     pub fn completed_after(&self, id: u64, moment: Time) -> Option<Duration> {
-        let completes_job = |note: &Note| matches!(note, Note::JobEnded { job, state: JobState::Completed, .. } if *job == JobId(id));
-        let ended = self.notes.iter().find(|(_, note)| completes_job(note));
+        let completes_job = |entry: &LogEntry| matches!(entry, LogEntry::JobEnded { job, state: JobState::Completed, .. } if *job == JobId(id));
+        let ended = self.log_entries.iter().find(|(_, entry)| completes_job(entry));
         ended.map(|(at, _)| at.since(moment))
     }
 
@@ -316,14 +316,14 @@
     /// Performs an action of the scheduler.
     fn perform(&mut self, action: Action) {
         match action {
-            Action::Order { life, entry, token, lease_until_ms, order } => {
+            Action::Order { instance, entry, token, lease_until_ms, order } => {
                 let answer = match self.listens_at(&entry)
                     && !self.cut_from.contains(entry.id.as_str())
                 {
                     true => self.deliver_order(entry.id.as_str(), token, lease_until_ms, &order),
                     false => OrderAnswer::Unanswered,
                 };
-                let answered = Event::OrderAnswered { life, order, answer };
+                let answered = Event::OrderAnswered { instance, order, answer };
                 match self.order_answers_take.is_zero() {
                     true => self.tell(answered),
                     false => {
@@ -332,19 +332,19 @@
                     }
                 }
             }
-            Action::Hold { life, entry, hold } => {
+            Action::Hold { instance, entry, hold } => {
                 self.holds += 1;
                 *self.holds_by_worker.entry(entry.id.to_string()).or_default() += 1;
                 match self.listens_at(&entry) {
-                    true => self.deliver_hold(life, entry.id.as_str(), hold),
-                    false => self.interrupted_holds.push((life, hold, self.now)),
+                    true => self.deliver_hold(instance, entry.id.as_str(), hold),
+                    false => self.interrupted_holds.push((instance, hold, self.now)),
                 }
             }
             Action::Commit { batch, records } => {
                 assert!(records.len() <= MAX_BATCH_RECORDS, "{} records in a batch", records.len());
                 self.batches.push_back((self.now + self.store_takes, batch, records));
             }
-            Action::Note(note) => self.notes.push((self.now, note)),
+            Action::Log(entry) => self.log_entries.push((self.now, entry)),
             Action::Deposed => self.deposed = true,
             answer => {
                 self.check_accepted_is_stored(&answer);
@@ -381,7 +381,7 @@
         if let Order::Start(start) = order {
             self.start_orders.push((now, start.task, id.to_owned()));
         }
-        if self.replaced_lives.contains(id) {
+        if self.replaced_instances.contains(id) {
             return OrderAnswer::LifeOver;
         }
         let worker = self.workers.get_mut(id).expect("orders go to workers of the fleet");
@@ -417,14 +417,14 @@
     }
 
     /// Delivers a hold to a worker.
-    fn deliver_hold(&mut self, life: LifeNo, id: &str, hold: Hold) {
+    fn deliver_hold(&mut self, instance: InstanceNo, id: &str, hold: Hold) {
         let now = self.now;
-        if self.replaced_lives.contains(id) {
-            self.holds_to_replaced_lives.push((life, hold, now));
+        if self.replaced_instances.contains(id) {
+            self.polls_to_replaced_instances.push((instance, hold, now));
         }
         self.check_acknowledged_are_stored(id, hold.ends_kept);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.earlier_holds.extend(worker.held.replace((life, hold, now)));
+            worker.earlier_holds.extend(worker.held.replace((instance, hold, now)));
         }
     }
 
@@ -459,12 +459,17 @@
         while let Some((_, answered)) = self.order_answers.pop_front_if(|(at, _)| *at <= now) {
             answers.push(answered);
         }
-        for (life, hold, sent_at) in self.holds_to_replaced_lives.drain(..) {
-            answers.push(Event::Held { life, hold, sent_at, answer: Err(HoldFailure::LifeOver) });
+        for (instance, hold, sent_at) in self.polls_to_replaced_instances.drain(..) {
+            answers.push(Event::Held {
+                instance,
+                hold,
+                sent_at,
+                answer: Err(HoldFailure::InstanceOver),
+            });
         }
-        for (life, hold, sent_at) in self.interrupted_holds.drain(..) {
+        for (instance, hold, sent_at) in self.interrupted_holds.drain(..) {
             let answer = Err(HoldFailure::Unanswered);
-            answers.push(Event::Held { life, hold, sent_at, answer });
+            answers.push(Event::Held { instance, hold, sent_at, answer });
         }
         self.mark_waiting_gangs();
         for (id, worker) in &mut self.workers {
@@ -473,21 +478,21 @@
             for start in worker.carry_out_deferred(now) {
                 self.starts.push((now, start.task, start.run, id.clone()));
             }
-            if let Some((_, life, ended)) = worker.late_ends.take_if(|(at, ..)| *at <= now) {
+            if let Some((_, instance, ended)) = worker.late_ends.take_if(|(at, ..)| *at <= now) {
                 let incarnation = worker.entry.incarnation;
-                answers.push(Event::LateEnds { life, incarnation, ended });
+                answers.push(Event::LateEnds { instance, incarnation, ended });
             }
             let held = mem::take(&mut worker.earlier_holds).into_iter().chain(worker.held.take());
-            for (life, hold, sent_at) in held.collect::<Vec<_>>() {
+            for (instance, hold, sent_at) in held.collect::<Vec<_>>() {
                 let answer = match is_cut {
                     true => answer_unreachable_hold(now, &hold, sent_at),
-                    false => worker.answer_hold(now, (life, hold, sent_at), tail_ms),
+                    false => worker.answer_hold(now, (instance, hold, sent_at), tail_ms),
                 };
                 if let Some(answer) = answer {
                     self.stale_answers += u64::from(worker.repeats_known_ends(&answer));
-                    answers.push(Event::Held { life, hold, sent_at, answer });
+                    answers.push(Event::Held { instance, hold, sent_at, answer });
                 } else {
-                    worker.earlier_holds.extend(worker.held.replace((life, hold, sent_at)));
+                    worker.earlier_holds.extend(worker.held.replace((instance, hold, sent_at)));
                 }
             }
         }
--- a/crates/kitetrail-core/tests/fleet/owners.rs
+++ b/crates/kitetrail-core/tests/fleet/owners.rs
@@ -48,7 +48,7 @@
         let inheritance = Inheritance {
             jobs: self.jobs.values().map(job_with_progress).collect(),
             ended: ended.collect(),
-            lives: self.lives.values().cloned().collect(),
+            instances: self.instances.values().cloned().collect(),
             effects: self.effects.clone(),
             leases_renewed_for,
         };
@@ -71,13 +71,15 @@
         match record {
             Record::Job(job) => drop(self.jobs.insert(job.id, job)),
             Record::Progress(progress) => drop(self.progress.insert(progress.id, progress)),
-            Record::DropJob(id) => {
+            Record::RemoveJob(id) => {
                 assert!(self.jobs.remove(&id).is_some(), "a dropped row must exist");
             }
-            Record::LifeUsed(life) => drop(self.lives.insert(life.key().to_string(), life)),
-            Record::LifeOver(life) => drop(self.lives.remove(&life.to_string())),
+            Record::PutInstance(instance) => {
+                drop(self.instances.insert(instance.key().to_string(), instance))
+            }
+            Record::RemoveInstance(instance) => drop(self.instances.remove(&instance.to_string())),
             Record::Effects(effects) => self.effects = effects,
-            Record::Forget(id) => drop(self.progress.remove(&id)),
+            Record::RemoveProgress(id) => drop(self.progress.remove(&id)),
         }
     }
 }
--- a/crates/kitetrail-core/tests/fleet/predecessor.rs
+++ b/crates/kitetrail-core/tests/fleet/predecessor.rs
@@ -8,7 +8,7 @@
 
 use kitetrail_core::{
     Time,
-    jobs::{Action, Event, Hold, LifeNo, OrderAnswer, Scheduler, WorkerEntry},
+    jobs::{Action, Event, Hold, InstanceNo, OrderAnswer, Scheduler, WorkerEntry},
 };
 
 use super::{
@@ -36,7 +36,7 @@
     pub suspended_until: Option<Time>,
     /// When this owner was replaced: none of its later writes was committed.
     replaced_at: Time,
-    holds: Vec<(LifeNo, WorkerEntry, Hold, Time)>,
+    holds: Vec<(InstanceNo, WorkerEntry, Hold, Time)>,
     events: VecDeque<(Time, Event)>,
 }
 
@@ -74,7 +74,9 @@
         for worker in self.workers.values_mut() {
             let held = mem::take(&mut worker.earlier_holds).into_iter().chain(worker.held.take());
             let entry = &worker.entry;
-            holds.extend(held.map(|(life, hold, sent_at)| (life, entry.clone(), hold, sent_at)));
+            holds.extend(
+                held.map(|(instance, hold, sent_at)| (instance, entry.clone(), hold, sent_at)),
+            );
         }
         let successor = super::owners::scheduler(epoch, Default::default(), self.now);
         let scheduler = mem::replace(&mut self.scheduler, successor);
@@ -102,16 +104,16 @@
             return;
         }
         let mut events = owner.take_due(now);
-        for (life, entry, hold, sent_at) in mem::take(&mut owner.holds) {
+        for (instance, entry, hold, sent_at) in mem::take(&mut owner.holds) {
             let answer = match owner.reaches(&entry) && self.listens_at(&entry) {
                 true => self.workers.get_mut(entry.id.as_str()).and_then(|worker| {
-                    worker.answer_hold(now, (life, hold, sent_at), self.tail_ms)
+                    worker.answer_hold(now, (instance, hold, sent_at), self.tail_ms)
                 }),
                 false => answer_unreachable_hold(now, &hold, sent_at),
             };
             match answer {
-                Some(answer) => events.push(Event::Held { life, hold, sent_at, answer }),
-                None => owner.holds.push((life, entry, hold, sent_at)),
+                Some(answer) => events.push(Event::Held { instance, hold, sent_at, answer }),
+                None => owner.holds.push((instance, entry, hold, sent_at)),
             }
         }
         events.push(Event::Tick);
@@ -127,23 +129,23 @@
     /// Performs an action of the previous owner. Returns `false` if it was deposed.
     fn perform_for_predecessor(&mut self, owner: &mut Predecessor, action: Action) -> bool {
         match action {
-            Action::Order { life, entry, token, lease_until_ms, order } => {
+            Action::Order { instance, entry, token, lease_until_ms, order } => {
                 let answer = match owner.reaches(&entry) && self.listens_at(&entry) {
                     true => self.deliver_order(entry.id.as_str(), token, lease_until_ms, &order),
                     false => OrderAnswer::Unanswered,
                 };
-                let answered = Event::OrderAnswered { life, order, answer };
+                let answered = Event::OrderAnswered { instance, order, answer };
                 owner.events.push_back((self.now + self.order_answers_take, answered));
             }
-            Action::Hold { life, entry, hold } => {
-                owner.holds.push((life, (*entry).clone(), hold, self.now));
+            Action::Hold { instance, entry, hold } => {
+                owner.holds.push((instance, (*entry).clone(), hold, self.now));
             }
             Action::Deposed => return false,
             // The store no longer answers this owner, so it can't answer callers.
             Action::Commit { .. }
             | Action::AnswerSubmit(..)
             | Action::AnswerCancel(..)
-            | Action::Note(_) => {}
+            | Action::Log(_) => {}
         }
         true
     }
--- a/crates/kitetrail-core/tests/fleet/worker.rs
+++ b/crates/kitetrail-core/tests/fleet/worker.rs
@@ -9,7 +9,7 @@
 use kitetrail_core::{
     Resources, Time,
     jobs::{
-        Hold, HoldFailure, HowEnded, LifeNo, Order, OrderAnswer, Refusal, Report, RunEnd,
+        Hold, HoldFailure, HowEnded, InstanceNo, Order, OrderAnswer, Refusal, Report, RunEnd,
         RunningTask, StartOrder, TaskName, WorkerEntry,
     },
 };
@@ -143,14 +143,14 @@
     /// the acknowledgement.
     pub acknowledged_ends: Vec<(Time, RunEnd)>,
     /// The hold that waits for an answer, with the time at which it was sent.
-    pub held: Option<(LifeNo, Hold, Time)>,
+    pub held: Option<(InstanceNo, Hold, Time)>,
     /// Earlier holds that still wait: an owner may hold two lives of a worker at the same time.
-    pub earlier_holds: Vec<(LifeNo, Hold, Time)>,
+    pub earlier_holds: Vec<(InstanceNo, Hold, Time)>,
     /// The delay after which a late worker carries out orders.
     pub late_by: Duration,
     deferred: VecDeque<DeferredOrder>,
     /// The ends in a late answer, with the time of its arrival and the life to which it belongs.
-    pub late_ends: Option<(Time, LifeNo, Vec<RunEnd>)>,
+    pub late_ends: Option<(Time, InstanceNo, Vec<RunEnd>)>,
     /// The tasks that this worker completed.
     pub done: Vec<TaskName>,
     /// The number of runs whose lease lapsed.
@@ -304,7 +304,7 @@
     pub fn answer_hold(
         &mut self,
         now: Time,
-        (life, hold, sent_at): (LifeNo, Hold, Time),
+        (instance, hold, sent_at): (InstanceNo, Hold, Time),
         tail_ms: fn(&FakeWorker) -> u32,
     ) -> Option<Result<Report, HoldFailure>> {
         if self.mood == Mood::Down {
@@ -316,7 +316,7 @@
                 return None;
             }
             if self.mood == Mood::Unread {
-                self.late_ends = Some((now + LATE_ANSWER_DELAY, life, self.ended.clone()));
+                self.late_ends = Some((now + LATE_ANSWER_DELAY, instance, self.ended.clone()));
             }
             return Some(Err(HoldFailure::Unanswered));
         }
--- a/crates/kitetrail-core/tests/jobs.rs
+++ b/crates/kitetrail-core/tests/jobs.rs
@@ -9,7 +9,7 @@
 use fleet::{DAY_UNIX_MS, Mood, TOKEN_OF_LATER_OWNER, World, job, step, task};
 use kitetrail_core::{
     Resources,
-    jobs::{Discovery, Event, InvalidJob, JobState, Note, Schedule, StepProgress, StepSpec},
+    jobs::{Discovery, Event, InvalidJob, JobState, LogEntry, Schedule, StepProgress, StepSpec},
 };
 
 #[test]
@@ -130,10 +130,10 @@
         world.submit(id, job(vec![step(1)]));
         world.run_ms(150);
     }
-    let is_quarantine = |(_, note): &(_, Note)| {
-        matches!(note, Note::Worker { belief: "set aside: its runs fail", .. })
+    let is_quarantine = |(_, entry): &(_, LogEntry)| {
+        matches!(entry, LogEntry::Worker { belief: "set aside: its runs fail", .. })
     };
-    assert!(world.notes.iter().any(is_quarantine));
+    assert!(world.log_entries.iter().any(is_quarantine));
     let starts = world.starts.iter().filter(|(.., worker)| worker == "w0").count();
     assert!(starts <= 5, "the failing worker got {starts} starts");
     world.run_ms(8_000);
--- a/crates/kitetrail-core/tests/jobs_evacuation.rs
+++ b/crates/kitetrail-core/tests/jobs_evacuation.rs
@@ -9,7 +9,7 @@
 use fleet::{Mood, World, job, step, task};
 use kitetrail_core::{
     Resources,
-    jobs::{EffectsRecord, Event, JobState, Note, ServingEffects, StepSpec},
+    jobs::{EffectsRecord, Event, JobState, LogEntry, ServingEffects, StepSpec},
 };
 use proptest::{
     prelude::{Just, Strategy, any},
@@ -20,10 +20,10 @@
 /// Returns a fleet whose workers are alternately in zones a and b.
 fn two_zones(workers: u32) -> World {
     let mut world = World::new(0);
-    for worker_no in 0..workers {
-        let mut worker = fleet::FakeWorker::new(worker_no);
-        worker.entry.zone = zone_of(worker_no).to_owned();
-        world.workers.insert(format!("w{worker_no}"), worker);
+    for instance_no in 0..workers {
+        let mut worker = fleet::FakeWorker::new(instance_no);
+        worker.entry.zone = zone_of(instance_no).to_owned();
+        world.workers.insert(format!("w{instance_no}"), worker);
     }
     world.list_all();
     world.run_ms(200);
@@ -160,9 +160,9 @@
 #[test]
 fn tasks_near_a_rack_in_an_evacuated_zone_go_to_another_zone() {
     let mut world = two_zones(4);
-    for worker_no in 0..4 {
-        let worker = world.worker(&format!("w{worker_no}"));
-        worker.entry.rack = format!("r-{}", zone_of(worker_no));
+    for instance_no in 0..4 {
+        let worker = world.worker(&format!("w{instance_no}"));
+        worker.entry.rack = format!("r-{}", zone_of(instance_no));
         worker.entry.labels = vec!["plain".to_owned(), worker.entry.rack.clone()];
     }
     world.list_all();
@@ -272,8 +272,13 @@
     world.submit(1, job(vec![StepSpec { size: Resources::new(6_000, 512, 0), ..step(2) }]));
     world.run_ms(3_000);
     assert!(world.starts.is_empty());
-    let is_waiting_note = |(_, note): &&(_, Note)| matches!(note, Note::WaitsForZone { .. });
-    assert_eq!(world.notes.iter().filter(is_waiting_note).count(), 1, "one note for the step");
+    let is_waiting_entry =
+        |(_, entry): &&(_, LogEntry)| matches!(entry, LogEntry::WaitsForZone { .. });
+    assert_eq!(
+        world.log_entries.iter().filter(is_waiting_entry).count(),
+        1,
+        "one log entry for the step"
+    );
     evacuate(&mut world, &[]);
     world.run_until("the job completes", |world| is_completed(world, 1));
 }
@@ -323,7 +328,7 @@
         4 => any::<[bool; 2]>().prop_map(Operation::Evacuate),
         1 => any::<bool>().prop_map(|stopped| Operation::TakeOver { stopped }),
         1 => (0..6_u32).prop_map(Operation::Crash),
-        1 => (0..6_u32, mood).prop_map(|(worker_no, mood)| Operation::Mood(worker_no, mood)),
+        1 => (0..6_u32, mood).prop_map(|(instance_no, mood)| Operation::Mood(instance_no, mood)),
         4 => submit.prop_map(|(tasks, lasts, copies_allowed, keeps_progress)| {
             Operation::Submit { tasks, lasts, copies_allowed, keeps_progress }
         }),
@@ -356,15 +361,15 @@
                 let event = Event::Evacuated(self.evacuated.clone());
                 self.world.take_over_with(self.epoch, stopped, event);
             }
-            Operation::Crash(worker_no) => {
-                let id = self.world.workers.keys().nth(worker_no as usize).unwrap().clone();
+            Operation::Crash(instance_no) => {
+                let id = self.world.workers.keys().nth(instance_no as usize).unwrap().clone();
                 self.restarts += 1;
                 let new_id = format!("x{}", self.restarts);
                 self.world.reborn(&id, &new_id);
                 self.world.list_all();
             }
-            Operation::Mood(worker_no, mood) => {
-                let id = self.world.workers.keys().nth(worker_no as usize).unwrap().clone();
+            Operation::Mood(instance_no, mood) => {
+                let id = self.world.workers.keys().nth(instance_no as usize).unwrap().clone();
                 self.world.worker(&id).mood = mood;
             }
             Operation::Submit { tasks, lasts, copies_allowed, keeps_progress } => {
--- a/crates/kitetrail-core/tests/jobs_kept.rs
+++ b/crates/kitetrail-core/tests/jobs_kept.rs
@@ -191,6 +191,6 @@
         }
     }
     let not_leased =
-        |id: &&String| world.lives.get(id.as_str()).is_some_and(|life| life.not_leased);
+        |id: &&String| world.instances.get(id.as_str()).is_some_and(|instance| instance.not_leased);
     assert_eq!(silent.iter().filter(not_leased).count(), 30);
 }
--- a/crates/kitetrail-core/tests/jobs_restarted.rs
+++ b/crates/kitetrail-core/tests/jobs_restarted.rs
@@ -25,7 +25,8 @@
 use kitetrail_core::{
     Resources,
     jobs::{
-        BegunRun, Event, Incarnation, JobId, JobState, LifeRecord, Note, StepSpec, WorkerEntry,
+        BegunRun, Event, Incarnation, InstanceRecord, JobId, JobState, LogEntry, StepSpec,
+        WorkerEntry,
     },
 };
 
@@ -168,13 +169,13 @@
     world.run_until("the task is done", |world| {
         world.workers[&worker_id].done.contains(&task(10, 0, 0))
     });
-    let (life, hold, sent_at) = world.worker(&worker_id).held.unwrap();
+    let (instance, hold, sent_at) = world.worker(&worker_id).held.unwrap();
     let ended = world.worker(&worker_id).ended.clone();
     let before = world.worker(&worker_id).entry.incarnation;
     world.restart(&worker_id);
     world.list_all();
     // The late answer of the previous incarnation is read before the next one has answered.
-    world.tell(Event::LateEnds { life, incarnation: before, ended });
+    world.tell(Event::LateEnds { instance, incarnation: before, ended });
     world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
     assert_eq!(world.starts.len(), 1, "the completed task is not started again");
     let _ = (hold, sent_at);
@@ -223,11 +224,11 @@
         world.run_until("all tasks run again", |world| world.starts.len() == 4 + lost_runs);
         assert!(world.now.since(taken_over_at).as_millis() < 1_500, "they waited for a lease");
         world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
-        let rows = world.lives.keys().cloned().collect::<BTreeSet<_>>();
+        let rows = world.instances.keys().cloned().collect::<BTreeSet<_>>();
         world.run_ms(1_000);
         assert_eq!(world.starts.len(), 4 + lost_runs, "runs on other workers continued");
         assert_eq!(
-            world.lives.len(),
+            world.instances.len(),
             4,
             "one row per live incarnation, none of an ended one: {rows:?}"
         );
@@ -237,8 +238,9 @@
 #[test]
 fn each_incarnation_of_a_worker_has_its_own_row() {
     let mut world = used_fleet(4);
-    let rows =
-        |world: &World| world.lives.values().map(|life| life.incarnation).collect::<Vec<_>>();
+    let rows = |world: &World| {
+        world.instances.values().map(|instance| instance.incarnation).collect::<Vec<_>>()
+    };
     assert_eq!(rows(&world), [Some(Incarnation(DAY_UNIX_MS)); 4]);
     world.restart("w0");
     let now = world.worker("w0").entry.incarnation;
@@ -251,10 +253,10 @@
 #[test]
 fn rows_without_an_incarnation_are_read() {
     let row = r#"{"id":"w0","address":"10.0.0.0:80","service":"desk"}"#;
-    let record = serde_json::from_str::<LifeRecord>(row).unwrap();
+    let record = serde_json::from_str::<InstanceRecord>(row).unwrap();
     assert_eq!((record.key().to_string().as_str(), record.incarnation), ("w0", None));
     let run = serde_json::from_str::<BegunRun>(r#"{"run":3,"worker":"w0"}"#).unwrap();
-    assert_eq!(run.life(), record.key());
+    assert_eq!(run.instance(), record.key());
 }
 
 #[test]
@@ -360,10 +362,10 @@
             world.run_ms(110);
         }
         world.run_ms(5_000);
-        let is_clock_note =
-            |note: &Note| matches!(note, Note::Worker { belief, .. } if belief.contains("clock"));
-        let clock_notes = world.notes.iter().filter(|(_, note)| is_clock_note(note)).count();
-        assert_eq!(clock_notes, 0, "{answers_take_ms} ms");
+        let is_clock_entry = |entry: &LogEntry| matches!(entry, LogEntry::Worker { belief, .. } if belief.contains("clock"));
+        let clock_entries =
+            world.log_entries.iter().filter(|(_, entry)| is_clock_entry(entry)).count();
+        assert_eq!(clock_entries, 0, "{answers_take_ms} ms");
     }
 }
 
@@ -446,11 +448,13 @@
 /// Returns whether a job failed because three workers in a row crashed under one of its tasks, which is allowed: a task that
 /// causes crashes can't be distinguished from one that was running by chance during three of them (seed 103).
 fn failed_for_three_crashes(world: &World, id: u64) -> bool {
-    let is_job_failure = |note: &Note| match note {
-        Note::CrashingTaskGivenUp { task, workers } => task.job == JobId(id) && workers.len() >= 3,
+    let is_job_failure = |entry: &LogEntry| match entry {
+        LogEntry::CrashingTaskGivenUp { task, workers } => {
+            task.job == JobId(id) && workers.len() >= 3
+        }
         _ => false,
     };
-    world.notes.iter().any(|(_, note)| is_job_failure(note))
+    world.log_entries.iter().any(|(_, entry)| is_job_failure(entry))
 }
 
 #[test]
--- a/crates/kitetrail-core/tests/jobs_unusable.rs
+++ b/crates/kitetrail-core/tests/jobs_unusable.rs
@@ -104,7 +104,7 @@
     world.list(unused_entry);
     world.run_ms(3_000);
     assert_eq!((world.holds_of("w9"), holds), (0, 0), "the worker is not polled");
-    assert!(!world.lives.contains_key("w9"), "nothing is persisted about the worker");
+    assert!(!world.instances.contains_key("w9"), "nothing is persisted about the worker");
     let other_queue = QueueTerms { name: "more".into(), service: "nowhere".to_owned(), ..queue() };
     world.tell(Event::Queues(vec![queue(), other_queue]));
     world.run_ms(3_000);
--- a/crates/kitetrail-platform/src/fleet.rs
+++ b/crates/kitetrail-platform/src/fleet.rs
@@ -7,7 +7,9 @@
     Resources,
     evacuation::EvacuationChange,
     fleet_config::FleetConfig,
-    jobs::{Hold, HoldFailure, JobSpec, JobState, LifeId, Order, OrderAnswer, Report, WorkerEntry},
+    jobs::{
+        Hold, HoldFailure, JobSpec, JobState, Order, OrderAnswer, Report, WorkerEntry, WorkerName,
+    },
 };
 
 use thiserror::Error;
@@ -125,7 +127,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnusableEntry {
     /// Under whose id it stands.
-    pub id: LifeId,
+    pub id: WorkerName,
     /// What is wrong with it.
     pub fault: EntryFault,
 }
@@ -188,7 +190,7 @@
         /// Entries that name no worker to use.
         unusable: Vec<UnusableEntry>,
         /// The ids.
-        gone: Vec<LifeId>,
+        gone: Vec<WorkerName>,
         /// Where to go on.
         version: u64,
     },
--- a/crates/kitetraild/src/fleet/notes.rs
+++ b/crates/kitetraild/src/fleet/log_entries.rs
@@ -1,80 +1,80 @@
 //! Writes the scheduler's decisions to the log.
 
-use kitetrail_core::jobs::{LifeId, Note, TaskName};
+use kitetrail_core::jobs::{LogEntry, TaskName, WorkerName};
 
 /// Writes a decision to the log.
-pub(super) fn log_note(note: &Note) {
-    match note {
-        Note::Submitted { job, queue, tasks, known } => log::info!(
+pub(super) fn log_entry(entry: &LogEntry) {
+    match entry {
+        LogEntry::Submitted { job, queue, tasks, known } => log::info!(
             job = job.to_string(), queue = queue.as_str(), tasks = *tasks, known = *known;
             "job: handed in"
         ),
-        Note::JobEnded { job, state, after_ms, objective_ms } => log::info!(
+        LogEntry::JobEnded { job, state, after_ms, objective_ms } => log::info!(
             job = job.to_string(), state:? = *state, after_ms = *after_ms,
             objective_ms = *objective_ms;
             "job: ended"
         ),
-        Note::Placed { task, run, worker, free, heard_ago_ms } => log::info!(
+        LogEntry::Placed { task, run, worker, free, heard_ago_ms } => log::info!(
             job = task.job.to_string(), task = task_path(task), run = *run, worker = worker.as_str(),
             free = free.to_string(), heard_ago_ms:? = *heard_ago_ms;
             "run: placed"
         ),
-        Note::RunEnded { task, run, worker, how } => log::info!(
+        LogEntry::RunEnded { task, run, worker, how } => log::info!(
             job = task.job.to_string(), task = task_path(task), run = *run, worker = worker.as_str(),
             how:? = *how;
             "run: ended"
         ),
-        Note::EndPassedOver { task, run, worker, number, seen } => log::warn!(
+        LogEntry::EndPassedOver { task, run, worker, number, seen } => log::warn!(
             job = task.job.to_string(), task = task_path(task), run = *run, worker = worker.as_str(),
             number = *number, seen = *seen;
             "run: end ignored, its number was already reported"
         ),
-        Note::WorkerRestarted { worker, before, now, ends_seen, runs } => log::warn!(
+        LogEntry::WorkerRestarted { worker, before, now, ends_seen, runs } => log::warn!(
             worker = worker.as_str(), before:? = *before, now:? = *now,
             ends_seen = *ends_seen, runs = *runs;
             "worker: started again under its id"
         ),
-        Note::RunGivenUp { task, run, worker, why, ran_ms, beside } => log::warn!(
+        LogEntry::RunGivenUp { task, run, worker, why, ran_ms, beside } => log::warn!(
             job = task.job.to_string(), task = task_path(task), run = *run, worker = worker.as_str(),
             why = *why, ran_ms:? = *ran_ms, beside = *beside;
             "run: lost"
         ),
-        Note::CrashedUnder { task, worker, evidence, crashes } => log::warn!(
+        LogEntry::CrashedUnder { task, worker, evidence, crashes } => log::warn!(
             job = task.job.to_string(), task = task_path(task), worker = worker.as_str(),
             evidence = evidence.as_str(), crashes = *crashes;
             "task: its worker crashed"
         ),
-        Note::NoMoreSuspected { task } => log::info!(
+        LogEntry::NoMoreSuspected { task } => log::info!(
             job = task.job.to_string(), task = task_path(task);
             "task: suspected of crashes no more"
         ),
-        Note::CrashingTaskGivenUp { task, workers } => log::error!(
+        LogEntry::CrashingTaskGivenUp { task, workers } => log::error!(
             job = task.job.to_string(), task = task_path(task), crashed = join_ids(workers);
             "job: failed, a task crashes its workers"
         ),
-        Note::RunMoved { task, run, worker, why } => log::info!(
+        LogEntry::RunMoved { task, run, worker, why } => log::info!(
             job = task.job.to_string(), task = task_path(task), run = *run, worker = worker.as_str(),
             why = *why;
             "run: moved"
         ),
-        Note::OrderFailed { task, run, worker, answer } => log::warn!(
+        LogEntry::OrderFailed { task, run, worker, answer } => log::warn!(
             job = task.job.to_string(), task = task_path(task), run = *run, worker = worker.as_str(),
             answer:? = *answer;
             "order: not done"
         ),
-        Note::Worker { worker, belief, heard_ago_ms } => log::info!(
+        LogEntry::Worker { worker, belief, heard_ago_ms } => log::info!(
             worker = worker.as_str(), belief = *belief, heard_ago_ms:? = *heard_ago_ms;
             "worker: state changed"
         ),
-        Note::WaitsForZone { job, step } => log::warn!(
+        LogEntry::WaitsForZone { job, step } => log::warn!(
             job = job.to_string(), step = *step;
             "job: waits, only zones that are being evacuated could run it"
         ),
-        Note::Overload { takes_jobs, lag_ms } => log::warn!(
+        LogEntry::Overload { takes_jobs, lag_ms } => log::warn!(
             takes_jobs = *takes_jobs, lag_ms = *lag_ms;
             "owner: overloaded, or no more"
         ),
-        Note::Backlog {
+        LogEntry::Backlog {
             kind,
             waiting_in_time,
             waiting_late,
@@ -88,11 +88,11 @@
             started_late = *started_late, lag_ms = *lag_ms;
             "owner: backlog"
         ),
-        Note::Unkept { records, ends, batch_sent_ago_ms } => log::info!(
+        LogEntry::Unkept { records, ends, batch_sent_ago_ms } => log::info!(
             records = *records, ends = *ends, batch_sent_ago_ms:? = *batch_sent_ago_ms;
             "owner: not kept yet"
         ),
-        Note::Paced { worker, percent, tail_of_target_percent } => log::info!(
+        LogEntry::Paced { worker, percent, tail_of_target_percent } => log::info!(
             worker = worker.as_str(), percent = *percent,
             tail_of_target_percent = *tail_of_target_percent;
             "worker: best-effort tasks throttled"
@@ -100,8 +100,8 @@
     }
 }
 
-fn join_ids(workers: &[LifeId]) -> String {
-    workers.iter().map(LifeId::as_str).collect::<Vec<_>>().join(" ")
+fn join_ids(workers: &[WorkerName]) -> String {
+    workers.iter().map(WorkerName::as_str).collect::<Vec<_>>().join(" ")
 }
 
 /// Formats the name of a task without its job.
--- a/crates/kitetraild/src/fleet/mod.rs
+++ b/crates/kitetraild/src/fleet/mod.rs
@@ -8,7 +8,7 @@
 mod connection_limits;
 mod evacuation;
 mod front;
-mod notes;
+mod log_entries;
 mod operators;
 mod owner;
 mod ownership;
--- a/crates/kitetraild/src/fleet/owner/actions.rs
+++ b/crates/kitetraild/src/fleet/owner/actions.rs
@@ -3,14 +3,14 @@
 use std::{pin::pin, sync::Arc, time::Duration};
 
 use kitetrail_core::jobs::{
-    Action, CancelAnswer, Event, Hold, HoldFailure, LifeNo, Note, Order, Report, SubmitAnswer,
-    WorkerEntry,
+    Action, CancelAnswer, Event, Hold, HoldFailure, InstanceNo, LogEntry, Order, Report,
+    SubmitAnswer, WorkerEntry,
 };
 use kitetrail_platform::{CallLimits, fleet::WorkerControl, within};
 use tokio::task;
 
 use super::{
-    super::{Platform, calls::Answer, committer::Batch, notes},
+    super::{Platform, calls::Answer, committer::Batch, log_entries},
     Owner, OwnerMessage,
 };
 
@@ -22,10 +22,10 @@
     /// Executes an action of the scheduler. Returns `false` if this owner is deposed.
     pub(super) fn execute(&mut self, action: Action) -> bool {
         match action {
-            Action::Order { life, entry, token, lease_until_ms, order } => {
-                self.send_order(life, entry, token, lease_until_ms, order);
+            Action::Order { instance, entry, token, lease_until_ms, order } => {
+                self.send_order(instance, entry, token, lease_until_ms, order);
             }
-            Action::Hold { life, entry, hold } => self.send_hold(life, entry, hold),
+            Action::Hold { instance, entry, hold } => self.send_hold(instance, entry, hold),
             Action::Commit { batch, records } => {
                 self.commit_in_flight = true;
                 // At most one batch is in flight, and the channel has room for one.
@@ -46,7 +46,7 @@
             Action::AnswerCancel(request, CancelAnswer::Unknown(job)) => {
                 self.reply(request, self.unknown_job_answer(job));
             }
-            Action::Note(note) => self.record_note(&note),
+            Action::Log(decision) => self.record_log_entry(&decision),
             Action::Deposed => {
                 log::warn!("owner: deposed, a worker has seen a higher fencing token");
                 return false;
@@ -56,21 +56,21 @@
     }
 
     /// Logs a decision and updates the metrics.
-    fn record_note(&self, note: &Note) {
-        match note {
-            Note::CrashedUnder { evidence, .. } => {
+    fn record_log_entry(&self, decision: &LogEntry) {
+        match decision {
+            LogEntry::CrashedUnder { evidence, .. } => {
                 self.shared.metrics.note_task_crash(evidence.as_str());
             }
-            Note::WorkerRestarted { .. } => self.shared.metrics.note_worker_restart(),
-            Note::CrashingTaskGivenUp { .. } => self.shared.metrics.note_crashing_job(),
+            LogEntry::WorkerRestarted { .. } => self.shared.metrics.note_worker_restart(),
+            LogEntry::CrashingTaskGivenUp { .. } => self.shared.metrics.note_crashing_job(),
             _ => {}
         }
-        notes::log_note(note);
+        log_entries::log_entry(decision);
     }
 
     fn send_order(
         &self,
-        life: LifeNo,
+        instance: InstanceNo,
         entry: Arc<WorkerEntry>,
         token: u64,
         lease_until_ms: u64,
@@ -80,12 +80,12 @@
         let (workers, sender) = (self.shared.services.workers.clone(), self.sender.clone());
         task::spawn_local(async move {
             let answer = workers.order(&entry, token, lease_until_ms, &order).await;
-            let event = Event::OrderAnswered { life, order, answer };
+            let event = Event::OrderAnswered { instance, order, answer };
             let _ = sender.send(OwnerMessage::Event(event)).await;
         });
     }
 
-    fn send_hold(&self, life: LifeNo, entry: Arc<WorkerEntry>, hold: Hold) {
+    fn send_hold(&self, instance: InstanceNo, entry: Arc<WorkerEntry>, hold: Hold) {
         self.shared.metrics.note_decision("hold");
         let (workers, sender) = (self.shared.services.workers.clone(), self.sender.clone());
         let sent_at = self.shared.clock.now();
@@ -100,11 +100,11 @@
             let answer = within(answer_timeout, call.as_mut()).await;
             let late = answer.is_none();
             let answer = answer.unwrap_or(Err(HoldFailure::Unanswered));
-            let event = Event::Held { life, hold, sent_at, answer };
+            let event = Event::Held { instance, hold, sent_at, answer };
             let _ = sender.send(OwnerMessage::Event(event)).await;
             if late && let Ok(report) = call.await {
                 let Report { incarnation, ended, .. } = report;
-                let event = Event::LateEnds { life, incarnation, ended };
+                let event = Event::LateEnds { instance, incarnation, ended };
                 let _ = sender.send(OwnerMessage::Event(event)).await;
             }
         });
--- a/crates/kitetraild/src/fleet/rows.rs
+++ b/crates/kitetraild/src/fleet/rows.rs
@@ -91,19 +91,19 @@
         Record::Progress(ProgressRecord { id, .. }) => {
             put_record(transaction, progress_row(&id.to_string()), record)
         }
-        Record::DropJob(id) => {
+        Record::RemoveJob(id) => {
             transaction.removes.push(job_row(&id.to_string()));
             Ok(())
         }
-        Record::LifeUsed(life) => {
-            put_record(transaction, row(INCARNATIONS_TABLE, &life.key().to_string()), record)
+        Record::PutInstance(instance) => {
+            put_record(transaction, row(INCARNATIONS_TABLE, &instance.key().to_string()), record)
         }
         Record::Effects(_) => put_record(transaction, effects_row(), record),
-        Record::LifeOver(life) => {
-            transaction.removes.push(row(INCARNATIONS_TABLE, &life.to_string()));
+        Record::RemoveInstance(instance) => {
+            transaction.removes.push(row(INCARNATIONS_TABLE, &instance.to_string()));
             Ok(())
         }
-        Record::Forget(id) => {
+        Record::RemoveProgress(id) => {
             transaction.removes.push(progress_row(&id.to_string()));
             Ok(())
         }
@@ -170,9 +170,11 @@
     let value = match record {
         Record::Job(job) => serde_json::to_vec(job)?,
         Record::Progress(progress) => serde_json::to_vec(progress)?,
-        Record::LifeUsed(life) => serde_json::to_vec(life)?,
+        Record::PutInstance(instance) => serde_json::to_vec(instance)?,
         Record::Effects(effects) => serde_json::to_vec(effects)?,
-        Record::DropJob(_) | Record::LifeOver(_) | Record::Forget(_) => return Ok(()),
+        Record::RemoveJob(_) | Record::RemoveInstance(_) | Record::RemoveProgress(_) => {
+            return Ok(());
+        }
     };
     transaction.puts.push((name, value));
     Ok(())
--- a/crates/kitetraild/src/fleet/takeover.rs
+++ b/crates/kitetraild/src/fleet/takeover.rs
@@ -128,7 +128,7 @@
         Some(mut inheritance) => {
             inheritance.leases_renewed_for = earlier_owners.get().may_renew_for(shared.clock.now());
             log::info!(
-                epoch = row.epoch, jobs = inheritance.jobs.len(), ended = inheritance.ended.len(), lives = inheritance.lives.len(),
+                epoch = row.epoch, jobs = inheritance.jobs.len(), ended = inheritance.ended.len(), lives = inheritance.instances.len(),
                 earlier_renew_for_ms = inheritance.leases_renewed_for.as_millis() as u64, after_ms = started.elapsed().as_millis() as u64;
                 "owner: owns the fleet"
             );
@@ -312,13 +312,13 @@
 /// Reads the state that the previous owner left.
 async fn load<P: Platform>(shared: &Rc<Shared<P>>) -> Result<Inheritance, PlatformError> {
     // Read one table after the other, since they share the box's link.
-    let lives = scan::read_table(shared, rows::INCARNATIONS_TABLE).await?;
+    let instances = scan::read_table(shared, rows::INCARNATIONS_TABLE).await?;
     let progress = scan::read_table(shared, rows::PROGRESS_TABLE).await?;
     let jobs = scan::read_table(shared, rows::JOBS_TABLE).await?;
     let mut progress = rows::decode_all::<ProgressRecord>(&progress);
     let mut inheritance = Inheritance {
         effects: load_effects(shared).await?,
-        lives: rows::decode_all(&lives).into_values().collect(),
+        instances: rows::decode_all(&instances).into_values().collect(),
         ..Inheritance::default()
     };
     for (key, job) in rows::decode_all(&jobs) {
--- a/crates/kitetraild/src/fleet/workers_watch.rs
+++ b/crates/kitetraild/src/fleet/workers_watch.rs
@@ -8,7 +8,7 @@
 
 use kitetrail_core::{
     Time,
-    jobs::{Discovery, Event, LifeId, WorkerEntry},
+    jobs::{Discovery, Event, WorkerEntry, WorkerName},
 };
 use kitetrail_platform::fleet::{
     EntryFault, ListedWorkers, UnusableEntry, WorkerChanges, WorkerList,
@@ -39,9 +39,9 @@
 /// The entries that were sent to the owner.
 #[derive(Default)]
 struct KnownEntries {
-    workers: BTreeMap<LifeId, KnownEntry>,
+    workers: BTreeMap<WorkerName, KnownEntry>,
     /// The entries that can't be used, with the reason.
-    unusable: BTreeMap<LifeId, EntryFault>,
+    unusable: BTreeMap<WorkerName, EntryFault>,
 }
 
 impl KnownEntries {
@@ -140,7 +140,7 @@
 fn changes(
     known: &mut KnownEntries,
     listed: Vec<WorkerEntry>,
-    gone: Vec<LifeId>,
+    gone: Vec<WorkerName>,
     now: Time,
 ) -> Vec<Discovery> {
     let mut changes = Vec::new();
