--- a/crates/kitetrail-core/examples/owner_cost.rs
+++ b/crates/kitetrail-core/examples/owner_cost.rs
@@ -55,14 +55,14 @@
     events: u64,
     spent: Duration,
     allocations: u64,
-    holds: u64,
+    polls: u64,
     stale_answers: u64,
 }
 
 impl Counts {
     fn of(world: &World) -> Self {
-        let &World { events, spent, allocations, holds, stale_answers, .. } = world;
-        Self { starts: world.starts.len(), events, spent, allocations, holds, stale_answers }
+        let &World { events, spent, allocations, polls, stale_answers, .. } = world;
+        Self { starts: world.starts.len(), events, spent, allocations, polls, stale_answers }
     }
 }
 
@@ -77,7 +77,7 @@
         spent_us / events,
         (after.allocations - before.allocations) as f64 / starts,
         starts * 1_000.0 / COUNTED_MS as f64,
-        (after.holds - before.holds) as f64 / starts,
+        (after.polls - before.polls) as f64 / starts,
         (after.stale_answers - before.stale_answers) as f64 / starts,
         spent_us / 1_000.0 / COUNTED_MS as f64,
     );
--- a/crates/kitetrail-core/src/jobs/event.rs
+++ b/crates/kitetrail-core/src/jobs/event.rs
@@ -10,7 +10,7 @@
     names::{Incarnation, JobId, WorkerName},
     order::{Order, OrderAnswer},
     record::Record,
-    report::{Hold, HoldFailure, Report, RunEnd},
+    report::{Poll, PollFailure, Report, RunEnd},
     spec::{JobSpec, QueueTerms},
     worker_entry::WorkerEntry,
 };
@@ -67,21 +67,21 @@
         /// The answer.
         answer: OrderAnswer,
     },
-    /// A hold was answered, or counts as unanswered.
-    Held {
+    /// A poll was answered, or counts as unanswered.
+    PollAnswered {
         /// The worker instance.
         instance: InstanceNo,
-        /// The hold.
-        hold: Hold,
+        /// The poll.
+        poll: Poll,
         /// The time at which it was sent.
         sent_at: Time,
         /// The worker's report, or why there is none.
-        answer: Result<Report, HoldFailure>,
+        answer: Result<Report, PollFailure>,
     },
-    /// A hold that counted as unanswered was answered late. The ended runs in it are final; the
+    /// A poll that counted as unanswered was answered late. The ended runs in it are final; the
     /// rest of the report is out of date.
     LateEnds {
-        /// The worker instance that the hold was sent to.
+        /// The worker instance that the poll was sent to.
         instance: InstanceNo,
         /// The incarnation that answered, if the platform reports it.
         incarnation: Option<Incarnation>,
@@ -167,13 +167,13 @@
         order: Order,
     },
     /// Asks a worker what it runs, and renews its leases.
-    Hold {
+    Poll {
         /// The worker instance.
         instance: InstanceNo,
         /// The worker's entry, with its address.
         entry: Arc<WorkerEntry>,
-        /// The hold.
-        hold: Hold,
+        /// The poll.
+        poll: Poll,
     },
     /// Stores records in one transaction. The next batch follows after this one is durable.
     Commit {
--- a/crates/kitetrail-core/src/jobs/instance.rs
+++ b/crates/kitetrail-core/src/jobs/instance.rs
@@ -180,14 +180,14 @@
     /// The orders that wait until the sent one is answered.
     pub(super) orders: VecDeque<Order>,
     pub(super) order_sent: Option<SentOrder>,
-    pub(super) hold_sent: bool,
-    pub(super) next_hold_at: Option<Time>,
+    pub(super) poll_in_flight: bool,
+    pub(super) next_poll_at: Option<Time>,
     /// Whether its availability zone is being evacuated.
     pub(super) zone_evacuated: bool,
     /// The time of the last search for other room for the tasks that would be lost when the worker
     /// leaves.
     pub(super) evacuated_at: Option<Time>,
-    /// The number of unanswered holds in a row.
+    /// The number of unanswered polls in a row.
     pub(super) silent: u32,
     /// The time at which the first of them, or an order before it, counted as unanswered.
     pub(super) silent_since: Option<Time>,
@@ -198,7 +198,7 @@
     /// The tasks that the previous owner was about to start here with a stored start, since they
     /// may crash their worker.
     pub(super) begun_before: Vec<TaskName>,
-    /// Whether one of the holds went unanswered while the owner itself did not lag.
+    /// Whether one of the polls went unanswered while the owner itself did not lag.
     pub(super) silent_for_sure: bool,
     /// The number of the last run end that the worker reported.
     pub(super) ends_seen: u64,
@@ -236,8 +236,8 @@
             room: None,
             orders: VecDeque::new(),
             order_sent: None,
-            hold_sent: false,
-            next_hold_at: Some(now),
+            poll_in_flight: false,
+            next_poll_at: Some(now),
             zone_evacuated: false,
             evacuated_at: None,
             silent: 0,
@@ -307,11 +307,12 @@
         }
     }
 
-    /// Returns whether the passing of time requires action: its lease has expired, a hold is due,
+    /// Returns whether the passing of time requires action: its lease has expired, a poll is due,
     /// or the worker is leaving and its tasks must move.
     pub(super) fn needs_check(&self, now: Time) -> bool {
-        let hold_is_due = !self.hold_sent && self.next_hold_at.is_some_and(|due_at| due_at <= now);
-        hold_is_due || self.lapses_at <= now || self.is_leaving(now)
+        let poll_is_due =
+            !self.poll_in_flight && self.next_poll_at.is_some_and(|due_at| due_at <= now);
+        poll_is_due || self.lapses_at <= now || self.is_leaving(now)
     }
 
     /// Returns the runs here, as far as known.
@@ -347,8 +348,8 @@
         self.clock.is_none_or(|clock| clock.agrees_with(reading))
     }
 
-    /// Returns the number of the last run end that a hold may acknowledge. Returns 0 if there is
-    /// nothing new to acknowledge, or the hold may reach a later instance: that one numbers its
+    /// Returns the number of the last run end that a poll may acknowledge. Returns 0 if there is
+    /// nothing new to acknowledge, or the poll may reach a later instance: that one numbers its
     /// ends from 1 and would drop ends that were never received.
     pub(super) fn ends_to_tell(&self) -> u64 {
         let is_sure = self.known && self.silent == 0 && !self.contested;
--- a/crates/kitetrail-core/src/jobs/mod.rs
+++ b/crates/kitetrail-core/src/jobs/mod.rs
@@ -32,7 +32,7 @@
     EffectsRecord, InstanceRecord, JobRecord, OccurrenceProgress, Outcome, ProgressRecord, Record,
     ServingEffects, StepProgress,
 };
-pub use report::{Hold, HoldFailure, HowEnded, Report, RunEnd, RunningTask};
+pub use report::{HowEnded, Poll, PollFailure, Report, RunEnd, RunningTask};
 pub use scheduler::{Inheritance, Scheduler, SchedulerSettings};
 pub use spec::{InvalidJob, JobSpec, QueueTerms, Schedule, StepSpec, WorkKind};
 pub use worker_entry::WorkerEntry;
--- a/crates/kitetrail-core/src/jobs/report.rs
+++ b/crates/kitetrail-core/src/jobs/report.rs
@@ -1,4 +1,4 @@
-//! Holds and the workers' reports.
+//! Polls and the workers' reports.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +7,7 @@
 /// A request to a worker that renews its leases and asks for a report, which the worker may delay
 /// (long polling).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Hold {
+pub struct Poll {
     /// The fencing token. A higher token invalidates all orders with lower tokens.
     pub token: u64,
     /// The new end of all leases, on the worker's clock in milliseconds; `None` leaves the leases
@@ -21,9 +21,9 @@
     pub wait_ms: u32,
 }
 
-/// Why there is no report for a hold.
+/// Why there is no report for a poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HoldFailure {
+pub enum PollFailure {
     /// The worker has seen a higher fencing token.
     Fenced,
     /// This worker instance is over.
--- a/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
@@ -29,7 +29,7 @@
 };
 use crate::Time;
 
-/// The source of the answer to a hold.
+/// The source of the answer to a poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReportSource {
     /// The incarnation that was asked.
@@ -84,7 +84,7 @@
             .find(|&instance_no| matches_incarnation(instance_no))
     }
 
-    /// Returns the source of the answer to a hold that was sent to an incarnation at a given time.
+    /// Returns the source of the answer to a poll that was sent to an incarnation at a given time.
     pub(super) fn report_source(
         &self,
         instance_no: InstanceNo,
@@ -123,9 +123,9 @@
                 return Executor::Another(other);
             }
             None if !agrees => {
-                // The hold in flight may acknowledge ends to the later incarnation that were never
-                // received. A hold with a higher token is sent now, to arrive first if possible.
-                instance.hold_sent = false;
+                // The poll in flight may acknowledge ends to the later incarnation that were never
+                // received. A poll with a higher token is sent now, to arrive first if possible.
+                instance.poll_in_flight = false;
                 self.log_worker_state(instance_no, "asked anew: its clock is another one");
                 return Executor::Unknown;
             }
@@ -161,7 +161,7 @@
                 self.log_worker_restart(instance_no, other);
                 self.end_instance(instance_no, InstanceEnd::StartedAgain);
             }
-            Some(other) => self.send_hold_now(other),
+            Some(other) => self.send_poll_now(other),
             None => {
                 let other = self.insert_instance(entry, self.now);
                 if let Some(instance) = self.instances.get_mut(other) {
@@ -182,7 +182,7 @@
             return;
         }
         self.raise_shared_token(instance_no);
-        // An order or hold with a lease time of the old clock may have reached the new incarnation.
+        // An order or poll with a lease time of the old clock may have reached the new incarnation.
         // Such a lease lasts at most as long as the longest lease that workers grant.
         let leased_until = self.now + self.longest_lease_expiry_delay();
         if let Some(instance) = self.instances.get_mut(instance_no) {
@@ -196,15 +196,15 @@
                 instance,
                 "contested: another incarnation with its id was reported",
             );
-            self.send_hold_now(instance);
+            self.send_poll_now(instance);
         }
     }
 
-    /// Sends a hold to a worker at once, unless one is in flight or the worker is silent.
-    fn send_hold_now(&mut self, instance_no: InstanceNo) {
+    /// Sends a poll to a worker at once, unless one is in flight or the worker is silent.
+    fn send_poll_now(&mut self, instance_no: InstanceNo) {
         if self.instances.get(instance_no).is_some_and(|instance| instance.silent == 0) {
-            self.schedule_hold_within(instance_no, Duration::ZERO);
-            self.send_hold_if_due(instance_no);
+            self.schedule_poll_within(instance_no, Duration::ZERO);
+            self.send_poll_if_due(instance_no);
         }
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/leasing.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/leasing.rs
@@ -57,8 +57,8 @@
         instance.recorded = true;
         if !instance.sent_not_leased && instance.leasing == Leasing::Resumed {
             instance.leasing = Leasing::Allowed;
-            self.schedule_hold_within(instance_no, Duration::ZERO);
-            self.send_hold_if_due(instance_no);
+            self.schedule_poll_within(instance_no, Duration::ZERO);
+            self.send_poll_if_due(instance_no);
             self.send_next_order(instance_no);
             self.placement_needed = true;
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/mod.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/mod.rs
@@ -194,8 +194,8 @@
             Event::OrderAnswered { instance, order, answer } => {
                 self.handle_order_answer(instance, order, answer)
             }
-            Event::Held { instance, hold, sent_at, answer } => {
-                self.handle_hold_answer(instance, hold, sent_at, answer)
+            Event::PollAnswered { instance, poll, sent_at, answer } => {
+                self.handle_poll_answer(instance, poll, sent_at, answer)
             }
             Event::LateEnds { instance, incarnation, ended } => {
                 self.handle_late_ends(instance, incarnation, &ended)
--- a/crates/kitetrail-core/src/jobs/scheduler/orders.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/orders.rs
@@ -17,8 +17,8 @@
 };
 use crate::Time;
 
-/// The delay from a confirmed start to the next hold. Most tasks run longer.
-const HOLD_AFTER_START: Duration = Duration::from_millis(100);
+/// The delay from a confirmed start to the next poll. Most tasks run longer.
+const POLL_AFTER_START: Duration = Duration::from_millis(100);
 /// The pause before a task is retried whose order the worker could not parse.
 const MALFORMED_ORDER_BACKOFF: Duration = Duration::from_millis(2_000);
 
@@ -155,8 +155,8 @@
                 self.handle_refused_order(instance_no, &order, refusal)
             }
         }
-        // A hold must be sent before the next start: see `send_hold_if_due`.
-        self.send_hold_if_due(instance_no);
+        // A poll must be sent before the next start: see `send_poll_if_due`.
+        self.send_poll_if_due(instance_no);
         self.send_next_order(instance_no);
     }
 
@@ -231,8 +231,8 @@
                 Order::Pace { .. } => run_state.paced_percent = UNKNOWN_PACE_PERCENT,
             }
         }
-        self.schedule_hold_within(instance_no, Duration::ZERO);
-        self.send_hold_if_due(instance_no);
+        self.schedule_poll_within(instance_no, Duration::ZERO);
+        self.send_poll_if_due(instance_no);
     }
 
     fn handle_executed_order(&mut self, instance_no: InstanceNo, order: &Order) {
@@ -249,7 +249,7 @@
             job.begun = true;
         }
         self.repace(instance_no);
-        self.schedule_hold_within(instance_no, HOLD_AFTER_START);
+        self.schedule_poll_within(instance_no, POLL_AFTER_START);
     }
 
     /// Handles a refusal: the worker has not executed the order.
@@ -271,7 +271,7 @@
             Refusal::Old | Refusal::Late | Refusal::Room | Refusal::Ticket => {}
         }
         // The worker's state differs from the expected one, so it is polled at once.
-        self.schedule_hold_within(instance_no, Duration::ZERO);
+        self.schedule_poll_within(instance_no, Duration::ZERO);
     }
 
     /// Handles an order refused for its token. The worker has seen a higher one, sent by us over
@@ -283,8 +283,8 @@
         }
     }
 
-    /// Handles a hold refused for its token, since the worker has seen a higher one.
-    pub(super) fn handle_fenced_hold(&mut self, instance_no: InstanceNo, token: u64) {
+    /// Handles a poll refused for its token, since the worker has seen a higher one.
+    pub(super) fn handle_fenced_poll(&mut self, instance_no: InstanceNo, token: u64) {
         if self.instances.get(instance_no).is_some_and(|instance| instance.token <= token) {
             self.out.push(Action::Deposed);
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/overload.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/overload.rs
@@ -2,7 +2,7 @@
 //!
 //! Load is measured by the *lag* alone: how much later than due the owner read the clock. All that
 //! it receives and sends is delayed as much. Work is shed in this order, each kind at a threshold
-//! of its own: moves and copies, frequent holds, new starts, new jobs. Never shed are ends, lease
+//! of its own: moves and copies, frequent polls, new starts, new jobs. Never shed are ends, lease
 //! renewals, cancellations and state queries. See `docs/design/overload.md`.
 
 use std::time::Duration;
@@ -42,12 +42,12 @@
 const JOBS_REFUSE_LAG: Duration = Duration::from_millis(700);
 /// The lag below which jobs are accepted again.
 const JOBS_RESUME_LAG: Duration = Duration::from_millis(350);
-/// The multiple of the lag that is added to the pause before the next hold of a worker, so that
-/// fewer holds are requested until the pending ones are answered in time.
-const HOLD_PAUSE_FACTOR: u32 = 4;
+/// The multiple of the lag that is added to the pause before the next poll of a worker, so that
+/// fewer polls are requested until the pending ones are answered in time.
+const POLL_PAUSE_FACTOR: u32 = 4;
 /// The longest added pause. With the time that a worker may delay its answer, leases of 4 s are
 /// still renewed at least every 1.5 s.
-const MAX_HOLD_PAUSE: Duration = Duration::from_millis(900);
+const MAX_POLL_PAUSE: Duration = Duration::from_millis(900);
 
 /// The lag of the owner, and the work it sheds.
 #[derive(Debug)]
@@ -96,9 +96,9 @@
         !self.refuses_jobs
     }
 
-    /// Returns the time added to the usual pause between two holds of a worker with runs.
-    pub(super) fn hold_pause(&self) -> Duration {
-        (self.lag * HOLD_PAUSE_FACTOR).min(MAX_HOLD_PAUSE)
+    /// Returns the time added to the usual pause between two polls of a worker with runs.
+    pub(super) fn poll_pause(&self) -> Duration {
+        (self.lag * POLL_PAUSE_FACTOR).min(MAX_POLL_PAUSE)
     }
 
     /// Records the current lag. Returns whether jobs are accepted, if that changed.
--- a/crates/kitetrail-core/src/jobs/scheduler/overload/tests.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/overload/tests.rs
@@ -55,13 +55,13 @@
 }
 
 #[test]
-fn hold_pause_grows_with_the_lag_up_to_a_limit() {
+fn poll_pause_grows_with_the_lag_up_to_a_limit() {
     let mut overload = Overload::default();
-    assert_eq!(overload.hold_pause(), Duration::ZERO);
+    assert_eq!(overload.poll_pause(), Duration::ZERO);
     overload.note_lag(ms(100), Time::from_ms(1_000));
-    assert_eq!(overload.hold_pause(), ms(400));
+    assert_eq!(overload.poll_pause(), ms(400));
     overload.note_lag(ms(5_000), Time::from_ms(1_020));
-    assert_eq!(overload.hold_pause(), ms(900));
+    assert_eq!(overload.poll_pause(), ms(900));
 }
 
 #[test]
--- a/crates/kitetrail-core/src/jobs/scheduler/poll_answers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/poll_answers.rs
@@ -1,4 +1,4 @@
-//! Handles answers to holds: reconciles what workers run with the scheduler's state.
+//! Handles answers to polls: reconciles what workers run with the scheduler's state.
 
 use std::mem;
 
@@ -6,7 +6,7 @@
     super::{
         instance::{InstanceEnd, InstanceNo},
         names::{Incarnation, TaskName},
-        report::{Hold, HoldFailure, Report, RunEnd, RunningTask},
+        report::{Poll, PollFailure, Report, RunEnd, RunningTask},
         run::{Phase, PlacedRun, Progress, UNKNOWN_PACE_PERCENT},
         spec::StepSpec,
         steps::Placement,
@@ -18,20 +18,20 @@
 use crate::Time;
 
 impl Scheduler {
-    /// Handles the answer to a hold, or its failure.
-    pub(super) fn handle_hold_answer(
+    /// Handles the answer to a poll, or its failure.
+    pub(super) fn handle_poll_answer(
         &mut self,
         instance_no: InstanceNo,
-        hold: Hold,
+        poll: Poll,
         sent_at: Time,
-        answer: Result<Report, HoldFailure>,
+        answer: Result<Report, PollFailure>,
     ) {
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
-        instance.hold_sent = false;
+        instance.poll_in_flight = false;
         match answer {
             Ok(report) => match self.report_source(instance_no, sent_at, &report) {
                 ReportSource::ThisInstance => {
-                    self.handle_report(instance_no, hold, sent_at, &report)
+                    self.handle_report(instance_no, poll, sent_at, &report)
                 }
                 ReportSource::Another(incarnation) => {
                     self.handle_other_incarnation(instance_no, incarnation, sent_at)
@@ -41,17 +41,17 @@
                 }
                 ReportSource::Unknown => {}
             },
-            Err(HoldFailure::InstanceOver) => {
+            Err(PollFailure::InstanceOver) => {
                 return self.end_instance(instance_no, InstanceEnd::AnotherAnswers);
             }
-            Err(HoldFailure::Fenced) => self.handle_fenced_hold(instance_no, hold.token),
-            Err(HoldFailure::Unhealthy) => {
+            Err(PollFailure::Fenced) => self.handle_fenced_poll(instance_no, poll.token),
+            Err(PollFailure::Unhealthy) => {
                 instance.silent += 1;
                 self.set_aside_unhealthy(instance_no);
             }
-            Err(HoldFailure::Unanswered) => self.handle_silence(instance_no),
+            Err(PollFailure::Unanswered) => self.handle_silence(instance_no),
         }
-        self.schedule_hold(instance_no);
+        self.schedule_poll(instance_no);
         self.send_next_order(instance_no);
     }
 
@@ -82,7 +82,7 @@
     fn handle_report(
         &mut self,
         instance_no: InstanceNo,
-        hold: Hold,
+        poll: Poll,
         sent_at: Time,
         report: &Report,
     ) {
@@ -100,7 +100,7 @@
         instance.note_heard(report.clock_ms, sent_at, now);
         self.resume_leasing(instance_no);
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
-        instance.ends_told = instance.ends_told.max(hold.ends_kept);
+        instance.ends_told = instance.ends_told.max(poll.ends_kept);
         let contested = instance.contested;
         instance.note_running(report);
         self.unheard.remove(&instance_no);
@@ -116,7 +116,7 @@
         for running in &report.running {
             self.reconcile_running(instance_no, running);
         }
-        self.reconcile_missing(instance_no, hold, sent_at, report);
+        self.reconcile_missing(instance_no, poll, sent_at, report);
         self.check_suspects(instance_no);
         self.check_progress(instance_no);
         self.control_pace(instance_no);
@@ -218,7 +218,7 @@
     fn reconcile_missing(
         &mut self,
         instance_no: InstanceNo,
-        hold: Hold,
+        poll: Poll,
         sent_at: Time,
         report: &Report,
     ) {
@@ -229,7 +229,7 @@
         let missing = instance.runs().iter().filter(|&(&name, run_state)| {
             let is_settled = match run_state.phase {
                 Phase::Unkept | Phase::Ordered => false,
-                Phase::Doubtful { settled_by } => hold.token >= settled_by,
+                Phase::Doubtful { settled_by } => poll.token >= settled_by,
                 Phase::Running(since) => since < sent_at,
             };
             is_settled && !reported(name, run_state.run)
--- a/crates/kitetrail-core/src/jobs/scheduler/polls.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/polls.rs
@@ -1,4 +1,4 @@
-//! Sends holds, the long-polling requests that ask workers what they run and renew their leases.
+//! Sends polls, the long-polling requests that ask workers what they run and renew their leases.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,42 +6,42 @@
     super::{
         event::Action,
         instance::{InstanceNo, Leasing, WorkerInstance},
-        report::Hold,
+        report::Poll,
     },
     Scheduler,
 };
 
-/// The longest time that a worker may wait for an end before it answers a hold, in milliseconds. It
+/// The longest time that a worker may wait for an end before it answers a poll, in milliseconds. It
 /// bounds how late slow tasks are noticed; the platform accepts up to 2,000 ms.
-const HOLD_WAIT_MS: u32 = 900;
+const POLL_WAIT_MS: u32 = 900;
 /// The same for workers that run latency-critical and batch tasks side by side, where tail
 /// latencies change within seconds.
-const HOLD_WAIT_SHARED_MS: u32 = 500;
-/// The pause before the next hold, so that ends that occur close together share one answer.
-const HOLD_PAUSE: Duration = Duration::from_millis(120);
+const POLL_WAIT_SHARED_MS: u32 = 500;
+/// The pause before the next poll, so that ends that occur close together share one answer.
+const POLL_PAUSE: Duration = Duration::from_millis(120);
 /// The same for a worker that runs nothing, of which only the health matters.
-const HOLD_PAUSE_IDLE: Duration = Duration::from_millis(5_000);
+const POLL_PAUSE_IDLE: Duration = Duration::from_millis(5_000);
 /// The same for a worker that runs nothing but has ends that were not acknowledged yet. They are
 /// persisted within about 100 ms, and nothing else is expected of it.
-const HOLD_PAUSE_UNACKNOWLEDGED: Duration = Duration::from_millis(600);
-/// The increment of the pause for each failed hold in a row.
-const HOLD_RETRY_STEP: Duration = Duration::from_millis(150);
-/// The number of holds a second that an owner aims at for workers that run something and answer in
-/// the usual time. Each hold takes about 60 µs, so the limit leaves the owner of a large fleet time
-/// for other work. Retries and holds after a start come on top.
-const TARGET_HOLDS_PER_S: f64 = 2_000.0;
-/// The duration of a hold and the pause after it without rate limiting: the shortest wait and
-/// [`HOLD_PAUSE`].
-const USUAL_HOLD_CYCLE: Duration = Duration::from_millis(620);
+const POLL_PAUSE_UNACKNOWLEDGED: Duration = Duration::from_millis(600);
+/// The increment of the pause for each failed poll in a row.
+const POLL_RETRY_STEP: Duration = Duration::from_millis(150);
+/// The number of polls a second that an owner aims at for workers that run something and answer in
+/// the usual time. Each poll takes about 60 µs, so the limit leaves the owner of a large fleet time
+/// for other work. Retries and polls after a start come on top.
+const TARGET_POLLS_PER_S: f64 = 2_000.0;
+/// The duration of a poll and the pause after it without rate limiting: the shortest wait and
+/// [`POLL_PAUSE`].
+const USUAL_POLL_CYCLE: Duration = Duration::from_millis(620);
 /// The longest pause between retries.
-const MAX_HOLD_RETRY: Duration = Duration::from_millis(1_000);
+const MAX_POLL_RETRY: Duration = Duration::from_millis(1_000);
 
 impl Scheduler {
-    /// Sends a hold to a worker if one is due.
-    pub(super) fn send_hold_if_due(&mut self, instance_no: InstanceNo) {
+    /// Sends a poll to a worker if one is due.
+    pub(super) fn send_poll_if_due(&mut self, instance_no: InstanceNo) {
         let (now, lease, lease_expiry_delay) = (self.now, self.lease, self.lease_expiry_delay());
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
-        if instance.hold_sent || instance.next_hold_at.is_none_or(|due_at| due_at > now) {
+        if instance.poll_in_flight || instance.next_poll_at.is_none_or(|due_at| due_at > now) {
             return;
         }
         let ends_kept = instance.ends_to_tell();
@@ -59,43 +59,43 @@
         if lease_until_ms.is_some() {
             instance.note_leased(lease_expiry_delay, now);
         }
-        instance.hold_sent = true;
-        let hold = Hold { token: instance.token, lease_until_ms, ends_kept, wait_ms };
-        self.out.push(Action::Hold {
+        instance.poll_in_flight = true;
+        let poll = Poll { token: instance.token, lease_until_ms, ends_kept, wait_ms };
+        self.out.push(Action::Poll {
             instance: instance_no,
             entry: Arc::clone(&instance.entry),
-            hold,
+            poll,
         });
     }
 
-    /// Schedules the next hold to a worker.
+    /// Schedules the next poll to a worker.
     ///
     /// Where a tail latency is above its target, neither a large fleet nor a lagging owner delays
-    /// holds, because batch tasks there are halted based on these reports.
-    pub(super) fn schedule_hold(&mut self, instance_no: InstanceNo) {
+    /// polls, because batch tasks there are halted based on these reports.
+    pub(super) fn schedule_poll(&mut self, instance_no: InstanceNo) {
         let now = self.now;
-        let fleet_cycle = Duration::from_secs_f64(self.instances.len() as f64 / TARGET_HOLDS_PER_S);
-        let extra_pause = fleet_cycle.saturating_sub(USUAL_HOLD_CYCLE);
+        let fleet_cycle = Duration::from_secs_f64(self.instances.len() as f64 / TARGET_POLLS_PER_S);
+        let extra_pause = fleet_cycle.saturating_sub(USUAL_POLL_CYCLE);
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
         let pause = match instance.silent {
-            0 if instance.contested => HOLD_PAUSE,
+            0 if instance.contested => POLL_PAUSE,
             0 if instance.runs().is_empty() && instance.ends_told >= instance.ends_seen => {
-                HOLD_PAUSE_IDLE
+                POLL_PAUSE_IDLE
             }
-            0 if instance.runs().is_empty() => HOLD_PAUSE_UNACKNOWLEDGED,
-            0 if instance.may_do_harm() => HOLD_PAUSE,
-            0 => HOLD_PAUSE + extra_pause + self.overload.hold_pause(),
-            failed_holds => (HOLD_RETRY_STEP * failed_holds).min(MAX_HOLD_RETRY),
+            0 if instance.runs().is_empty() => POLL_PAUSE_UNACKNOWLEDGED,
+            0 if instance.may_do_harm() => POLL_PAUSE,
+            0 => POLL_PAUSE + extra_pause + self.overload.poll_pause(),
+            failed_polls => (POLL_RETRY_STEP * failed_polls).min(MAX_POLL_RETRY),
         };
-        instance.next_hold_at = Some(now + pause);
+        instance.next_poll_at = Some(now + pause);
     }
 
-    /// Brings the next hold to a worker forward, because a change is expected.
-    pub(super) fn schedule_hold_within(&mut self, instance_no: InstanceNo, pause: Duration) {
+    /// Brings the next poll to a worker forward, because a change is expected.
+    pub(super) fn schedule_poll_within(&mut self, instance_no: InstanceNo, pause: Duration) {
         let due_at = self.now + pause;
         if let Some(instance) = self.instances.get_mut(instance_no) {
-            instance.next_hold_at =
-                Some(instance.next_hold_at.map_or(due_at, |due| due.min(due_at)));
+            instance.next_poll_at =
+                Some(instance.next_poll_at.map_or(due_at, |due| due.min(due_at)));
         }
     }
 }
@@ -108,7 +108,7 @@
     let shared = instance.serves() && instance.fills();
     match (immediate, shared) {
         (true, _) => 0,
-        (false, true) => HOLD_WAIT_SHARED_MS,
-        (false, false) => HOLD_WAIT_MS,
+        (false, true) => POLL_WAIT_SHARED_MS,
+        (false, false) => POLL_WAIT_MS,
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/unlisted.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/unlisted.rs
@@ -99,7 +99,7 @@
             _ => "not listed",
         };
         self.log_worker_state(instance_no, belief);
-        self.schedule_hold_within(instance_no, Duration::ZERO);
+        self.schedule_poll_within(instance_no, Duration::ZERO);
     }
 
     /// Returns the number of other tasks of the step that are not known to be working.
--- a/crates/kitetrail-core/src/jobs/scheduler/workers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/workers.rs
@@ -44,7 +44,7 @@
         self.placement_needed = true;
     }
 
-    /// Ends earlier incarnations at the place of one that answered a hold sent at a given time.
+    /// Ends earlier incarnations at the place of one that answered a poll sent at a given time.
     pub(super) fn end_earlier_instances(
         &mut self,
         instance_no: InstanceNo,
@@ -85,7 +85,7 @@
         self.placement_needed = true;
     }
 
-    /// Applies time-based changes to an incarnation: expired leases and due holds.
+    /// Applies time-based changes to an incarnation: expired leases and due polls.
     pub(super) fn check_instance(&mut self, instance_no: InstanceNo) {
         self.stop_leasing_if_silent(instance_no);
         let lease_has_expired = self.silent_lease_has_expired(instance_no);
@@ -103,7 +103,7 @@
             }
             _ => {}
         }
-        self.send_hold_if_due(instance_no);
+        self.send_poll_if_due(instance_no);
         self.evacuate_worker(instance_no);
     }
 
@@ -171,7 +171,7 @@
     /// Adds a new incarnation from its list entry.
     ///
     /// The entry does not prove that other incarnations at its place are over: entries of an ended
-    /// incarnation may arrive after those of its successor. Answers to holds show which of them are
+    /// incarnation may arrive after those of its successor. Answers to polls show which of them are
     /// alive.
     fn add_listed_instance(&mut self, entry: WorkerEntry) {
         // No other owner has leased on a worker that is new to the list, or the worker's record
@@ -184,7 +184,7 @@
         self.pending.add_instance(instance_no);
         self.log_worker_state(instance_no, "listed");
         self.mark_contested(instance_no);
-        self.send_hold_if_due(instance_no);
+        self.send_poll_if_due(instance_no);
     }
 
     pub(super) fn insert_instance(&mut self, entry: WorkerEntry, lapses_at: Time) -> InstanceNo {
--- a/crates/kitetrail-core/tests/fleet/mod.rs
+++ b/crates/kitetrail-core/tests/fleet/mod.rs
@@ -19,8 +19,8 @@
 use kitetrail_core::{
     Time,
     jobs::{
-        Action, EffectsRecord, Event, Hold, HoldFailure, HowEnded, Inheritance, InstanceNo,
-        InstanceRecord, JobId, JobRecord, JobSpec, JobState, LogEntry, Order, OrderAnswer, Outcome,
+        Action, EffectsRecord, Event, HowEnded, Inheritance, InstanceNo, InstanceRecord, JobId,
+        JobRecord, JobSpec, JobState, LogEntry, Order, OrderAnswer, Outcome, Poll, PollFailure,
         ProgressRecord, Record, RequestNo, Scheduler, SubmitAnswer, TaskName, WorkerEntry,
     },
 };
@@ -32,7 +32,7 @@
 use restarts::AcknowledgedEnds;
 pub use specs::{job, queue, step, task};
 pub use worker::{FakeWorker, Mood};
-use worker::{Work, answer_unreachable_hold};
+use worker::{Work, answer_unreachable_poll};
 
 /// The Unix time at which the virtual clock is zero, in milliseconds.
 pub const DAY_UNIX_MS: u64 = 1_780_000_000_000;
@@ -65,10 +65,10 @@
     pub crashes: Crashes,
     /// Lives of workers that crashed and were replaced: on their machines a new life answers.
     replaced_instances: BTreeSet<String>,
-    /// The holds for replaced lives, which reached the new life.
-    polls_to_replaced_instances: Vec<(InstanceNo, Hold, Time)>,
-    /// The holds whose connection broke when their worker crashed.
-    interrupted_holds: Vec<(InstanceNo, Hold, Time)>,
+    /// The polls for replaced lives, which reached the new life.
+    polls_to_replaced_instances: Vec<(InstanceNo, Poll, Time)>,
+    /// The polls whose connection broke when their worker crashed.
+    interrupted_polls: Vec<(InstanceNo, Poll, Time)>,
     /// The delay of answers to orders.
     pub order_answers_take: Duration,
     order_answers: VecDeque<(Time, Event)>,
@@ -95,10 +95,10 @@
     pub processor: Option<Processor>,
     /// The number of events that the scheduler handled.
     pub events: u64,
-    /// The number of holds that the scheduler requested.
-    pub holds: u64,
-    holds_by_worker: BTreeMap<String, u64>,
-    /// The number of answers to holds that reported only ends reported before.
+    /// The number of polls that the scheduler requested.
+    pub polls: u64,
+    polls_by_worker: BTreeMap<String, u64>,
+    /// The number of answers to polls that reported only ends reported before.
     pub stale_answers: u64,
     /// The real time that the scheduler spent on events.
     pub spent: Duration,
@@ -135,7 +135,7 @@
             crashes: Crashes::default(),
             replaced_instances: BTreeSet::new(),
             polls_to_replaced_instances: Vec::new(),
-            interrupted_holds: Vec::new(),
+            interrupted_polls: Vec::new(),
             order_answers_take: Duration::ZERO,
             order_answers: VecDeque::new(),
             restarts: 0,
@@ -150,8 +150,8 @@
             predecessor: None,
             processor: None,
             events: 0,
-            holds: 0,
-            holds_by_worker: BTreeMap::new(),
+            polls: 0,
+            polls_by_worker: BTreeMap::new(),
             stale_answers: 0,
             spent: Duration::ZERO,
             allocations: 0,
@@ -224,9 +224,9 @@
         })
     }
 
-    /// Returns the number of holds sent to a worker.
-    pub fn holds_of(&self, id: &str) -> u64 {
-        self.holds_by_worker.get(id).copied().unwrap_or(0)
+    /// Returns the number of polls sent to a worker.
+    pub fn polls_of(&self, id: &str) -> u64 {
+        self.polls_by_worker.get(id).copied().unwrap_or(0)
     }
 
     /// Advances the clock.
@@ -332,12 +332,12 @@
                     }
                 }
             }
-            Action::Hold { instance, entry, hold } => {
-                self.holds += 1;
-                *self.holds_by_worker.entry(entry.id.to_string()).or_default() += 1;
+            Action::Poll { instance, entry, poll } => {
+                self.polls += 1;
+                *self.polls_by_worker.entry(entry.id.to_string()).or_default() += 1;
                 match self.listens_at(&entry) {
-                    true => self.deliver_hold(instance, entry.id.as_str(), hold),
-                    false => self.interrupted_holds.push((instance, hold, self.now)),
+                    true => self.deliver_poll(instance, entry.id.as_str(), poll),
+                    false => self.interrupted_polls.push((instance, poll, self.now)),
                 }
             }
             Action::Commit { batch, records } => {
@@ -416,15 +416,15 @@
         }
     }
 
-    /// Delivers a hold to a worker.
-    fn deliver_hold(&mut self, instance: InstanceNo, id: &str, hold: Hold) {
+    /// Delivers a poll to a worker.
+    fn deliver_poll(&mut self, instance: InstanceNo, id: &str, poll: Poll) {
         let now = self.now;
         if self.replaced_instances.contains(id) {
-            self.polls_to_replaced_instances.push((instance, hold, now));
+            self.polls_to_replaced_instances.push((instance, poll, now));
         }
-        self.check_acknowledged_are_stored(id, hold.ends_kept);
+        self.check_acknowledged_are_stored(id, poll.ends_kept);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.earlier_holds.extend(worker.held.replace((instance, hold, now)));
+            worker.earlier_polls.extend(worker.open_poll.replace((instance, poll, now)));
         }
     }
 
@@ -459,17 +459,17 @@
         while let Some((_, answered)) = self.order_answers.pop_front_if(|(at, _)| *at <= now) {
             answers.push(answered);
         }
-        for (instance, hold, sent_at) in self.polls_to_replaced_instances.drain(..) {
-            answers.push(Event::Held {
+        for (instance, poll, sent_at) in self.polls_to_replaced_instances.drain(..) {
+            answers.push(Event::PollAnswered {
                 instance,
-                hold,
+                poll,
                 sent_at,
-                answer: Err(HoldFailure::InstanceOver),
+                answer: Err(PollFailure::InstanceOver),
             });
         }
-        for (instance, hold, sent_at) in self.interrupted_holds.drain(..) {
-            let answer = Err(HoldFailure::Unanswered);
-            answers.push(Event::Held { instance, hold, sent_at, answer });
+        for (instance, poll, sent_at) in self.interrupted_polls.drain(..) {
+            let answer = Err(PollFailure::Unanswered);
+            answers.push(Event::PollAnswered { instance, poll, sent_at, answer });
         }
         self.mark_waiting_gangs();
         for (id, worker) in &mut self.workers {
@@ -482,17 +482,20 @@
                 let incarnation = worker.entry.incarnation;
                 answers.push(Event::LateEnds { instance, incarnation, ended });
             }
-            let held = mem::take(&mut worker.earlier_holds).into_iter().chain(worker.held.take());
-            for (instance, hold, sent_at) in held.collect::<Vec<_>>() {
+            let open_polls =
+                mem::take(&mut worker.earlier_polls).into_iter().chain(worker.open_poll.take());
+            for (instance, poll, sent_at) in open_polls.collect::<Vec<_>>() {
                 let answer = match is_cut {
-                    true => answer_unreachable_hold(now, &hold, sent_at),
-                    false => worker.answer_hold(now, (instance, hold, sent_at), tail_ms),
+                    true => answer_unreachable_poll(now, &poll, sent_at),
+                    false => worker.answer_poll(now, (instance, poll, sent_at), tail_ms),
                 };
                 if let Some(answer) = answer {
                     self.stale_answers += u64::from(worker.repeats_known_ends(&answer));
-                    answers.push(Event::Held { instance, hold, sent_at, answer });
+                    answers.push(Event::PollAnswered { instance, poll, sent_at, answer });
                 } else {
-                    worker.earlier_holds.extend(worker.held.replace((instance, hold, sent_at)));
+                    worker
+                        .earlier_polls
+                        .extend(worker.open_poll.replace((instance, poll, sent_at)));
                 }
             }
         }
--- a/crates/kitetrail-core/tests/fleet/owners.rs
+++ b/crates/kitetrail-core/tests/fleet/owners.rs
@@ -31,8 +31,8 @@
         self.batches.clear();
         self.order_answers.clear();
         for worker in self.workers.values_mut() {
-            worker.held = None;
-            worker.earlier_holds.clear();
+            worker.open_poll = None;
+            worker.earlier_polls.clear();
         }
         let leases_renewed_for = match earlier_owners_stopped {
             true => Duration::ZERO,
--- a/crates/kitetrail-core/tests/fleet/predecessor.rs
+++ b/crates/kitetrail-core/tests/fleet/predecessor.rs
@@ -8,11 +8,11 @@
 
 use kitetrail_core::{
     Time,
-    jobs::{Action, Event, Hold, InstanceNo, OrderAnswer, Scheduler, WorkerEntry},
+    jobs::{Action, Event, InstanceNo, OrderAnswer, Poll, Scheduler, WorkerEntry},
 };
 
 use super::{
-    DAY_UNIX_MS, World, owners::MAX_RENEWAL_WITHOUT_STORE, worker::answer_unreachable_hold,
+    DAY_UNIX_MS, World, owners::MAX_RENEWAL_WITHOUT_STORE, worker::answer_unreachable_poll,
 };
 
 /// The outcome of a batch that was in flight during a takeover.
@@ -36,7 +36,7 @@
     pub suspended_until: Option<Time>,
     /// When this owner was replaced: none of its later writes was committed.
     replaced_at: Time,
-    holds: Vec<(InstanceNo, WorkerEntry, Hold, Time)>,
+    polls: Vec<(InstanceNo, WorkerEntry, Poll, Time)>,
     events: VecDeque<(Time, Event)>,
 }
 
@@ -70,12 +70,14 @@
                 events.push_back((self.now + answered_after, Event::Committed(batch)));
             }
         }
-        let mut holds = Vec::new();
+        let mut polls = Vec::new();
         for worker in self.workers.values_mut() {
-            let held = mem::take(&mut worker.earlier_holds).into_iter().chain(worker.held.take());
+            let open_polls =
+                mem::take(&mut worker.earlier_polls).into_iter().chain(worker.open_poll.take());
             let entry = &worker.entry;
-            holds.extend(
-                held.map(|(instance, hold, sent_at)| (instance, entry.clone(), hold, sent_at)),
+            polls.extend(
+                open_polls
+                    .map(|(instance, poll, sent_at)| (instance, entry.clone(), poll, sent_at)),
             );
         }
         let successor = super::owners::scheduler(epoch, Default::default(), self.now);
@@ -86,7 +88,7 @@
             store_cut: true,
             suspended_until: None,
             replaced_at: self.now,
-            holds,
+            polls,
             events,
         });
         self.take_over(epoch, false);
@@ -104,16 +106,18 @@
             return;
         }
         let mut events = owner.take_due(now);
-        for (instance, entry, hold, sent_at) in mem::take(&mut owner.holds) {
+        for (instance, entry, poll, sent_at) in mem::take(&mut owner.polls) {
             let answer = match owner.reaches(&entry) && self.listens_at(&entry) {
                 true => self.workers.get_mut(entry.id.as_str()).and_then(|worker| {
-                    worker.answer_hold(now, (instance, hold, sent_at), self.tail_ms)
+                    worker.answer_poll(now, (instance, poll, sent_at), self.tail_ms)
                 }),
-                false => answer_unreachable_hold(now, &hold, sent_at),
+                false => answer_unreachable_poll(now, &poll, sent_at),
             };
             match answer {
-                Some(answer) => events.push(Event::Held { instance, hold, sent_at, answer }),
-                None => owner.holds.push((instance, entry, hold, sent_at)),
+                Some(answer) => {
+                    events.push(Event::PollAnswered { instance, poll, sent_at, answer })
+                }
+                None => owner.polls.push((instance, entry, poll, sent_at)),
             }
         }
         events.push(Event::Tick);
@@ -137,8 +141,8 @@
                 let answered = Event::OrderAnswered { instance, order, answer };
                 owner.events.push_back((self.now + self.order_answers_take, answered));
             }
-            Action::Hold { instance, entry, hold } => {
-                owner.holds.push((instance, (*entry).clone(), hold, self.now));
+            Action::Poll { instance, entry, poll } => {
+                owner.polls.push((instance, (*entry).clone(), poll, self.now));
             }
             Action::Deposed => return false,
             // The store no longer answers this owner, so it can't answer callers.
--- a/crates/kitetrail-core/tests/fleet/processor.rs
+++ b/crates/kitetrail-core/tests/fleet/processor.rs
@@ -95,7 +95,7 @@
 /// Returns the number of ends of runs that an event reports.
 fn reported_ends(event: &Event) -> u32 {
     match event {
-        Event::Held { answer: Ok(report), .. } => report.ended.len() as u32,
+        Event::PollAnswered { answer: Ok(report), .. } => report.ended.len() as u32,
         _ => 0,
     }
 }
--- a/crates/kitetrail-core/tests/fleet/restarts.rs
+++ b/crates/kitetrail-core/tests/fleet/restarts.rs
@@ -51,7 +51,7 @@
         address: String,
     ) -> WorkerEntry {
         let previous = self.workers.remove(id).expect("the fleet has this worker");
-        self.interrupted_holds.extend(previous.held.into_iter().chain(previous.earlier_holds));
+        self.interrupted_polls.extend(previous.open_poll.into_iter().chain(previous.earlier_polls));
         self.restarts += 1;
         let entry =
             WorkerEntry { incarnation: Some(incarnation), address, ..previous.entry.clone() };
--- a/crates/kitetrail-core/tests/fleet/worker.rs
+++ b/crates/kitetrail-core/tests/fleet/worker.rs
@@ -9,15 +9,15 @@
 use kitetrail_core::{
     Resources, Time,
     jobs::{
-        Hold, HoldFailure, HowEnded, InstanceNo, Order, OrderAnswer, Refusal, Report, RunEnd,
+        HowEnded, InstanceNo, Order, OrderAnswer, Poll, PollFailure, Refusal, Report, RunEnd,
         RunningTask, StartOrder, TaskName, WorkerEntry,
     },
 };
 
 use super::STEP;
 
-/// The time beyond its wait after which the owner considers a hold unanswered.
-const HOLD_SLACK: Duration = Duration::from_millis(700);
+/// The time beyond its wait after which the owner considers a poll unanswered.
+const POLL_MARGIN: Duration = Duration::from_millis(700);
 /// The further delay of an answer that arrives after the owner considered it missing.
 const LATE_ANSWER_DELAY: Duration = Duration::from_millis(500);
 /// The startup time of a long-running task, which reports 100 percent from then on.
@@ -52,7 +52,7 @@
     Delayed,
     /// The worker neither answers nor carries out stop orders.
     Unstoppable,
-    /// The worker carries out orders, but its answers to holds arrive so late that they are considered missing.
+    /// The worker carries out orders, but its answers to polls arrive so late that they are considered missing.
     Unread,
 }
 
@@ -142,10 +142,10 @@
     /// The acknowledged ends with the times at which they occurred, except those after which the lease lapsed before
     /// the acknowledgement.
     pub acknowledged_ends: Vec<(Time, RunEnd)>,
-    /// The hold that waits for an answer, with the time at which it was sent.
-    pub held: Option<(InstanceNo, Hold, Time)>,
-    /// Earlier holds that still wait: an owner may hold two lives of a worker at the same time.
-    pub earlier_holds: Vec<(InstanceNo, Hold, Time)>,
+    /// The poll that waits for an answer, with the time at which it was sent.
+    pub open_poll: Option<(InstanceNo, Poll, Time)>,
+    /// Earlier polls that still wait: an owner may hold two lives of a worker at the same time.
+    pub earlier_polls: Vec<(InstanceNo, Poll, Time)>,
     /// The delay after which a late worker carries out orders.
     pub late_by: Duration,
     deferred: VecDeque<DeferredOrder>,
@@ -195,8 +195,8 @@
             answers_tell_start: false,
             leased_until_ms: 0,
             acknowledged_ends: Vec::new(),
-            held: None,
-            earlier_holds: Vec::new(),
+            open_poll: None,
+            earlier_polls: Vec::new(),
             late_by: DEFAULT_ORDER_DELAY,
             deferred: VecDeque::new(),
             late_ends: None,
@@ -300,35 +300,35 @@
         started
     }
 
-    /// Answers a hold. Returns `None` while the hold may wait.
-    pub fn answer_hold(
+    /// Answers a poll. Returns `None` while the poll may wait.
+    pub fn answer_poll(
         &mut self,
         now: Time,
-        (instance, hold, sent_at): (InstanceNo, Hold, Time),
+        (instance, poll, sent_at): (InstanceNo, Poll, Time),
         tail_ms: fn(&FakeWorker) -> u32,
-    ) -> Option<Result<Report, HoldFailure>> {
+    ) -> Option<Result<Report, PollFailure>> {
         if self.mood == Mood::Down {
-            return Some(Err(HoldFailure::Unanswered));
+            return Some(Err(PollFailure::Unanswered));
         }
         let waited = now.since(sent_at);
         if matches!(self.mood, Mood::Cut | Mood::Delayed | Mood::Unread) {
-            if !is_timed_out(&hold, waited) {
+            if !is_timed_out(&poll, waited) {
                 return None;
             }
             if self.mood == Mood::Unread {
                 self.late_ends = Some((now + LATE_ANSWER_DELAY, instance, self.ended.clone()));
             }
-            return Some(Err(HoldFailure::Unanswered));
+            return Some(Err(PollFailure::Unanswered));
         }
-        if hold.token < self.token {
-            return Some(Err(HoldFailure::Fenced));
+        if poll.token < self.token {
+            return Some(Err(PollFailure::Fenced));
         }
-        self.token = hold.token;
-        if let Some(until_ms) = hold.lease_until_ms {
+        self.token = poll.token;
+        if let Some(until_ms) = poll.lease_until_ms {
             self.lease(now, until_ms);
         }
-        self.acknowledge_ends(hold.ends_kept);
-        if self.ended.is_empty() && waited < Duration::from_millis(hold.wait_ms.into()) {
+        self.acknowledge_ends(poll.ends_kept);
+        if self.ended.is_empty() && waited < Duration::from_millis(poll.wait_ms.into()) {
             return None;
         }
         Some(Ok(self.report(now, tail_ms(self))))
@@ -345,7 +345,7 @@
     }
 
     /// Returns whether an answer reports ends, all of which have been reported before.
-    pub fn repeats_known_ends(&mut self, answer: &Result<Report, HoldFailure>) -> bool {
+    pub fn repeats_known_ends(&mut self, answer: &Result<Report, PollFailure>) -> bool {
         let Some(last) = answer.as_ref().ok().and_then(|report| report.ended.last()) else {
             return false;
         };
@@ -430,16 +430,16 @@
     }
 }
 
-/// Returns the outcome of a hold that does not reach its worker: `None` until the owner considers it unanswered.
-pub(super) fn answer_unreachable_hold(
+/// Returns the outcome of a poll that does not reach its worker: `None` until the owner considers it unanswered.
+pub(super) fn answer_unreachable_poll(
     now: Time,
-    hold: &Hold,
+    poll: &Poll,
     sent_at: Time,
-) -> Option<Result<Report, HoldFailure>> {
-    is_timed_out(hold, now.since(sent_at)).then_some(Err(HoldFailure::Unanswered))
+) -> Option<Result<Report, PollFailure>> {
+    is_timed_out(poll, now.since(sent_at)).then_some(Err(PollFailure::Unanswered))
 }
 
-/// Returns whether the owner considers a hold unanswered.
-fn is_timed_out(hold: &Hold, waited: Duration) -> bool {
-    waited >= Duration::from_millis(hold.wait_ms.into()) + HOLD_SLACK
+/// Returns whether the owner considers a poll unanswered.
+fn is_timed_out(poll: &Poll, waited: Duration) -> bool {
+    waited >= Duration::from_millis(poll.wait_ms.into()) + POLL_MARGIN
 }
--- a/crates/kitetrail-core/tests/jobs_cancelled.rs
+++ b/crates/kitetrail-core/tests/jobs_cancelled.rs
@@ -98,7 +98,7 @@
     world.cancel(1);
     world.run_ms(50);
     world.take_over(2, true);
-    // The worker answers the next owner while it is idle. After that it gets a hold only every few
+    // The worker answers the next owner while it is idle. After that it gets a poll only every few
     // seconds.
     world.worker("w0").mood = Mood::Well;
     world.run_ms(8_000);
--- a/crates/kitetrail-core/tests/jobs_incarnations.rs
+++ b/crates/kitetrail-core/tests/jobs_incarnations.rs
@@ -106,7 +106,7 @@
         world.submit(1, job(vec![step(1)]));
         world.run_ms(500);
         // The worker crashes while its answer is in transit.
-        let (instance, hold, sent_at) = world.worker("w0").held.take().unwrap();
+        let (instance, poll, sent_at) = world.worker("w0").open_poll.take().unwrap();
         let report = Report {
             incarnation: None,
             clock_ms: world.now.as_ms(),
@@ -119,7 +119,7 @@
         if restarted_first {
             world.run_until("the task runs again", |world| world.starts.len() == 2);
         }
-        world.tell(Event::Held { instance, hold, sent_at, answer: Ok(report) });
+        world.tell(Event::PollAnswered { instance, poll, sent_at, answer: Ok(report) });
         world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
         assert_eq!(
             world.starts.len(),
--- a/crates/kitetrail-core/tests/jobs_kept.rs
+++ b/crates/kitetrail-core/tests/jobs_kept.rs
@@ -182,7 +182,7 @@
     for id in &silent {
         world.worker(id).crash();
     }
-    // More jobs than the store can take. The owner notices the silence at the next hold, after 5 s
+    // More jobs than the store can take. The owner notices the silence at the next poll, after 5 s
     // on idle workers.
     for id in 0..3_500 {
         world.submit(100 + id, job(vec![step(1)]));
--- a/crates/kitetrail-core/tests/jobs_restarted.rs
+++ b/crates/kitetrail-core/tests/jobs_restarted.rs
@@ -6,7 +6,7 @@
 //! run ended, and 0.5 to 2 s later the owner considered the run lost and started the task on the next worker.
 //!
 //! The cause: an incarnation of a worker was identified by the worker's id alone, so the owner continued with the numbers of
-//! the previous incarnation. It ignored an end with a number at or below the last one it had received, and its next hold
+//! the previous incarnation. It ignored an end with a number at or below the last one it had received, and its next poll
 //! acknowledged ends up to the old number, so that the worker dropped ends that nobody had read.
 //!
 //! In the owner's log of two such waves, 140 runs were lost in this way, all on workers that had just restarted and from which
@@ -169,7 +169,7 @@
     world.run_until("the task is done", |world| {
         world.workers[&worker_id].done.contains(&task(10, 0, 0))
     });
-    let (instance, hold, sent_at) = world.worker(&worker_id).held.unwrap();
+    let (instance, poll, sent_at) = world.worker(&worker_id).open_poll.unwrap();
     let ended = world.worker(&worker_id).ended.clone();
     let before = world.worker(&worker_id).entry.incarnation;
     world.restart(&worker_id);
@@ -178,13 +178,13 @@
     world.tell(Event::LateEnds { instance, incarnation: before, ended });
     world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
     assert_eq!(world.starts.len(), 1, "the completed task is not started again");
-    let _ = (hold, sent_at);
+    let _ = (poll, sent_at);
 }
 
 #[test]
-fn the_next_hold_after_a_restart_drops_no_unread_end() {
+fn the_next_poll_after_a_restart_drops_no_unread_end() {
     // The worker has reported an end that is committed but not yet acknowledged to it. It restarts, gets a short task, and
-    // receives the next hold after that has ended.
+    // receives the next poll after that has ended.
     for (answers_report_start, order_answers_take_ms) in [(true, 0), (false, 0), (false, 300)] {
         let mut world = used_fleet(1);
         world.worker("w0").answers_tell_start = answers_report_start;
@@ -352,7 +352,7 @@
 
 #[test]
 fn answers_out_of_order_are_not_taken_for_a_restart() {
-    // Orders are answered late, and holds sent before or after them are answered in between.
+    // Orders are answered late, and polls sent before or after them are answered in between.
     for answers_take_ms in [30, 70, 150, 400] {
         let mut world = used_fleet(2);
         world.order_answers_take = Duration::from_millis(answers_take_ms);
--- a/crates/kitetrail-core/tests/jobs_unusable.rs
+++ b/crates/kitetrail-core/tests/jobs_unusable.rs
@@ -100,15 +100,15 @@
         address: "10.0.0.99:80".to_owned(),
         ..entry
     };
-    let holds = world.holds_of("w9");
+    let polls = world.polls_of("w9");
     world.list(unused_entry);
     world.run_ms(3_000);
-    assert_eq!((world.holds_of("w9"), holds), (0, 0), "the worker is not polled");
+    assert_eq!((world.polls_of("w9"), polls), (0, 0), "the worker is not polled");
     assert!(!world.instances.contains_key("w9"), "nothing is persisted about the worker");
     let other_queue = QueueTerms { name: "more".into(), service: "nowhere".to_owned(), ..queue() };
     world.tell(Event::Queues(vec![queue(), other_queue]));
     world.run_ms(3_000);
-    assert!(world.holds_of("w9") > 0);
+    assert!(world.polls_of("w9") > 0);
 }
 
 #[test]
--- a/crates/kitetrail-platform/src/fleet.rs
+++ b/crates/kitetrail-platform/src/fleet.rs
@@ -8,7 +8,7 @@
     evacuation::EvacuationChange,
     fleet_config::FleetConfig,
     jobs::{
-        Hold, HoldFailure, JobSpec, JobState, Order, OrderAnswer, Report, WorkerEntry, WorkerName,
+        JobSpec, JobState, Order, OrderAnswer, Poll, PollFailure, Report, WorkerEntry, WorkerName,
     },
 };
 
@@ -254,12 +254,12 @@
     ) -> impl Future<Output = OrderAnswer>;
 
     /// Asks a worker what it runs and lets it go on. The answer may take as long as given.
-    fn hold(
+    fn poll(
         &self,
         worker: &WorkerEntry,
-        hold: &Hold,
+        poll: &Poll,
         limits: CallLimits,
-    ) -> impl Future<Output = Result<Report, HoldFailure>>;
+    ) -> impl Future<Output = Result<Report, PollFailure>>;
 }
 
 /// How callers write jobs and read answers.
--- a/crates/kitetraild/src/fleet/connection_limits.rs
+++ b/crates/kitetraild/src/fleet/connection_limits.rs
@@ -38,8 +38,8 @@
     /// times receives the answer within 10 ms. A timeout that is too short costs a report, one that is
     /// too long delays all orders.
     pub order_timeout: Duration,
-    /// The time that a hold may take beyond its wait before the worker is considered silent.
-    pub hold_slack: Duration,
+    /// The time that a poll may take beyond its wait before the worker is considered silent.
+    pub poll_margin: Duration,
     /// The timeout of a ping to the owner. A false alarm costs a few reads of the store.
     pub ping_timeout: Duration,
     /// The timeout of a request to another box that does not involve the store. It includes the time
@@ -68,7 +68,7 @@
             config_wait: config / 2,
             watch_slack: contact / 5,
             order_timeout: answer / 10,
-            hold_slack: answer / 10,
+            poll_margin: answer / 10,
             ping_timeout: answer / 12,
             peer_timeout: answer / 6,
             peer_max_idle: contact / 4,
--- a/crates/kitetraild/src/fleet/connection_limits/tests.rs
+++ b/crates/kitetraild/src/fleet/connection_limits/tests.rs
@@ -53,9 +53,9 @@
 fn a_stop_order_reaches_its_worker_within_the_promised_time() {
     for promises in PROMISES {
         let limits = ConnectionLimits::of(&promises);
-        // The longest hold, and an order that finds the connection silent before the hold times out.
-        let hold = ms(900) + limits.hold_slack;
-        assert!(hold + limits.order_timeout.saturating_mul(2) < promises.cancel);
+        // The longest poll, and an order that finds the connection silent before the poll times out.
+        let poll = ms(900) + limits.poll_margin;
+        assert!(poll + limits.order_timeout.saturating_mul(2) < promises.cancel);
     }
 }
 
--- a/crates/kitetraild/src/fleet/owner/actions.rs
+++ b/crates/kitetraild/src/fleet/owner/actions.rs
@@ -3,7 +3,7 @@
 use std::{pin::pin, sync::Arc, time::Duration};
 
 use kitetrail_core::jobs::{
-    Action, CancelAnswer, Event, Hold, HoldFailure, InstanceNo, LogEntry, Order, Report,
+    Action, CancelAnswer, Event, InstanceNo, LogEntry, Order, Poll, PollFailure, Report,
     SubmitAnswer, WorkerEntry,
 };
 use kitetrail_platform::{CallLimits, fleet::WorkerControl, within};
@@ -14,7 +14,7 @@
     Owner, OwnerMessage,
 };
 
-/// How long a late answer to a hold is still accepted: the runs it reports as ended must not run again.
+/// How long a late answer to a poll is still accepted: the runs it reports as ended must not run again.
 /// Longer than a lease, 4 s.
 const LATE_REPORT_TIMEOUT: Duration = Duration::from_millis(4_500);
 
@@ -25,7 +25,7 @@
             Action::Order { instance, entry, token, lease_until_ms, order } => {
                 self.send_order(instance, entry, token, lease_until_ms, order);
             }
-            Action::Hold { instance, entry, hold } => self.send_hold(instance, entry, hold),
+            Action::Poll { instance, entry, poll } => self.send_poll(instance, entry, poll),
             Action::Commit { batch, records } => {
                 self.commit_in_flight = true;
                 // At most one batch is in flight, and the channel has room for one.
@@ -85,22 +85,22 @@
         });
     }
 
-    fn send_hold(&self, instance: InstanceNo, entry: Arc<WorkerEntry>, hold: Hold) {
+    fn send_poll(&self, instance: InstanceNo, entry: Arc<WorkerEntry>, poll: Poll) {
         self.shared.metrics.note_decision("hold");
         let (workers, sender) = (self.shared.services.workers.clone(), self.sender.clone());
         let sent_at = self.shared.clock.now();
-        let answer_slack = self.shared.settings.limits.hold_slack;
+        let answer_slack = self.shared.settings.limits.poll_margin;
         task::spawn_local(async move {
-            let answer_timeout = Duration::from_millis(hold.wait_ms.into()) + answer_slack;
+            let answer_timeout = Duration::from_millis(poll.wait_ms.into()) + answer_slack;
             let limits = CallLimits {
                 suspect_after: answer_timeout,
                 timeout: answer_timeout + LATE_REPORT_TIMEOUT,
             };
-            let mut call = pin!(workers.hold(&entry, &hold, limits));
+            let mut call = pin!(workers.poll(&entry, &poll, limits));
             let answer = within(answer_timeout, call.as_mut()).await;
             let late = answer.is_none();
-            let answer = answer.unwrap_or(Err(HoldFailure::Unanswered));
-            let event = Event::Held { instance, hold, sent_at, answer };
+            let answer = answer.unwrap_or(Err(PollFailure::Unanswered));
+            let event = Event::PollAnswered { instance, poll, sent_at, answer };
             let _ = sender.send(OwnerMessage::Event(event)).await;
             if late && let Ok(report) = call.await {
                 let Report { incarnation, ended, .. } = report;
--- a/crates/kitetraild/src/fleet/owner/mod.rs
+++ b/crates/kitetraild/src/fleet/owner/mod.rs
@@ -23,8 +23,8 @@
 };
 use crate::clock::unix_ms;
 
-/// The interval of the timer that drives leases, due holds and back-offs. It is well below the shortest
-/// pause between holds, 120 ms.
+/// The interval of the timer that drives leases, due polls and back-offs. It is well below the shortest
+/// pause between polls, 120 ms.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// The interval at which counts are published to other components of the box. Callers may get counts of
 /// waiting jobs that are 2 s old.
