--- a/crates/kitetrail-core/src/jobs/instance.rs
+++ b/crates/kitetrail-core/src/jobs/instance.rs
@@ -13,7 +13,9 @@
     order::Order,
     report::Report,
     run::{Phase, PlacedRun},
-    scheduler::{CLOCK_SLOW_PERCENT, crashed::Suspect, free_capacity::Room, tails::ImageNo},
+    scheduler::{
+        CLOCK_SLOW_PERCENT, crashed::Suspect, free_capacity::FreeCapacity, tails::ImageNo,
+    },
     worker_entry::WorkerEntry,
 };
 use crate::Time;
@@ -43,9 +45,9 @@
     Unusable,
     /// The entry expired for lack of heartbeats while the store was healthy: the worker has
     /// crashed, or can't reach the store and continues to run its tasks.
-    Lapsed,
+    Expired,
     /// The entry was removed for another reason.
-    Gone {
+    Removed {
         /// The time from which it is certain that the entry did not just expire during an outage of
         /// the store: the worker has left, or is about to.
         certain_at: Time,
@@ -152,106 +154,106 @@
     pub(super) entry: Arc<WorkerEntry>,
     pub(super) listing: Listing,
     /// Whether the store holds the record that tasks may be started here.
-    pub(super) recorded: bool,
+    pub(super) is_persisted: bool,
     /// The time at which this scheduler learned of the instance, which had started by then.
     known_since: Time,
     /// Whether its first report to this scheduler has arrived.
-    pub(super) known: bool,
+    pub(super) has_reported: bool,
     /// The time of its last answer.
-    pub(super) heard_at: Option<Time>,
+    pub(super) last_answer_at: Option<Time>,
     /// The worker's clock in its last answer.
     clock: Option<ClockReading>,
     /// Whether another instance under the same id is known and no answer has shown yet which of
     /// them is over. No orders are sent meanwhile.
     pub(super) contested: bool,
     /// The time by which every lease there has certainly expired, unless renewed.
-    pub(super) lapses_at: Time,
+    pub(super) leases_expire_by: Time,
     pub(super) leasing: Leasing,
     /// Whether its row that is being written says that it gets no lease.
     pub(super) sent_not_leased: bool,
-    /// Whether it has not answered until `lapses_at`, and the store has not confirmed this owner
+    /// Whether it has not answered until `leases_expire_by`, and the store has not confirmed this owner
     /// since.
-    pub(super) lapse_unconfirmed: bool,
+    pub(super) expiry_unconfirmed: bool,
     /// The fencing token of the next order.
     pub(super) token: u64,
     runs: BTreeMap<TaskName, PlacedRun>,
     /// The free resources; `None` if they must be computed again.
-    pub(super) room: Option<Room>,
+    pub(super) free_capacity: Option<FreeCapacity>,
     /// The orders that wait until the sent one is answered.
     pub(super) orders: VecDeque<Order>,
-    pub(super) order_sent: Option<SentOrder>,
+    pub(super) order_in_flight: Option<SentOrder>,
     pub(super) poll_in_flight: bool,
     pub(super) next_poll_at: Option<Time>,
     /// Whether its availability zone is being evacuated.
     pub(super) zone_evacuated: bool,
     /// The time of the last search for other room for the tasks that would be lost when the worker
     /// leaves.
-    pub(super) evacuated_at: Option<Time>,
+    pub(super) last_evacuation_attempt_at: Option<Time>,
     /// The number of unanswered polls in a row.
-    pub(super) silent: u32,
+    pub(super) unanswered_polls: u32,
     /// The time at which the first of them, or an order before it, counted as unanswered.
-    pub(super) silent_since: Option<Time>,
+    pub(super) unanswered_since: Option<Time>,
     /// Whether its machine crashed recently.
-    pub(super) fell_of_late: bool,
+    pub(super) crashed_recently: bool,
     /// The runs that may have crashed it and that the scheduler has since abandoned.
     pub(super) suspects: Vec<Suspect>,
     /// The tasks that the previous owner was about to start here with a stored start, since they
     /// may crash their worker.
-    pub(super) begun_before: Vec<TaskName>,
+    pub(super) inherited_starts: Vec<TaskName>,
     /// Whether one of the polls went unanswered while the owner itself did not lag.
-    pub(super) silent_for_sure: bool,
+    pub(super) silent_while_owner_on_time: bool,
     /// The number of the last run end that the worker reported.
-    pub(super) ends_seen: u64,
+    pub(super) last_end_received: u64,
     /// The number of the last run end that is durable.
-    pub(super) ends_kept: u64,
+    pub(super) last_end_persisted: u64,
     /// The number of the last run end that was acknowledged to the worker as durable.
-    pub(super) ends_told: u64,
+    pub(super) last_end_acknowledged: u64,
     /// The number of failed runs in a row, over all tasks.
     pub(super) failures: u32,
     /// The time before which it gets no new work because its runs failed.
-    pub(super) set_aside_until: Option<Time>,
+    pub(super) quarantined_until: Option<Time>,
     /// The number of times in a row that it was quarantined because its runs failed.
-    pub(super) set_aside_times: u32,
+    pub(super) quarantine_count: u32,
     pub(super) just_ended: Vec<JustEnded>,
     pub(super) paces: BTreeMap<ImageNo, Pace>,
 }
 
 impl WorkerInstance {
-    pub(super) fn new(entry: WorkerEntry, token: u64, lapses_at: Time, now: Time) -> Self {
+    pub(super) fn new(entry: WorkerEntry, token: u64, leases_expire_by: Time, now: Time) -> Self {
         Self {
             entry: Arc::new(entry),
             listing: Listing::Listed,
-            recorded: false,
+            is_persisted: false,
             known_since: now,
-            known: false,
-            heard_at: None,
+            has_reported: false,
+            last_answer_at: None,
             clock: None,
             contested: false,
-            lapses_at,
+            leases_expire_by,
             leasing: Leasing::Allowed,
             sent_not_leased: false,
-            lapse_unconfirmed: false,
+            expiry_unconfirmed: false,
             token,
             runs: BTreeMap::new(),
-            room: None,
+            free_capacity: None,
             orders: VecDeque::new(),
-            order_sent: None,
+            order_in_flight: None,
             poll_in_flight: false,
             next_poll_at: Some(now),
             zone_evacuated: false,
-            evacuated_at: None,
-            silent: 0,
-            silent_since: None,
-            fell_of_late: false,
+            last_evacuation_attempt_at: None,
+            unanswered_polls: 0,
+            unanswered_since: None,
+            crashed_recently: false,
             suspects: Vec::new(),
-            begun_before: Vec::new(),
-            silent_for_sure: false,
-            ends_seen: 0,
-            ends_kept: 0,
-            ends_told: 0,
+            inherited_starts: Vec::new(),
+            silent_while_owner_on_time: false,
+            last_end_received: 0,
+            last_end_persisted: 0,
+            last_end_acknowledged: 0,
             failures: 0,
-            set_aside_until: None,
-            set_aside_times: 0,
+            quarantined_until: None,
+            quarantine_count: 0,
             just_ended: Vec::new(),
             paces: BTreeMap::new(),
         }
@@ -263,7 +265,7 @@
 
     /// Returns whether another entry has the id, the address or the machine of this instance: then
     /// only one of them is alive.
-    pub(super) fn shares_place(&self, other: &WorkerEntry) -> bool {
+    pub(super) fn conflicts_with(&self, other: &WorkerEntry) -> bool {
         let same_machine = other.machine.is_some() && self.entry.machine == other.machine;
         let same_place = self.entry.address == other.address || same_machine;
         self.entry.key() != other.key() && (self.id() == &other.id || same_place)
@@ -272,28 +274,29 @@
     /// Returns whether the instance had started before a moment and has not answered since. An
     /// instance at the same address that answers a request sent at that moment is a later one.
     pub(super) fn precedes(&self, moment: Time) -> bool {
-        self.known_since <= moment && self.heard_at.is_none_or(|heard_at| heard_at < moment)
+        self.known_since <= moment
+            && self.last_answer_at.is_none_or(|last_answer_at| last_answer_at < moment)
     }
 
     /// Returns whether new work may be placed here.
-    pub(super) fn takes_work(&self, now: Time) -> bool {
-        let set_aside = self.set_aside_until.is_some_and(|until| now < until);
-        self.known
-            && self.recorded
+    pub(super) fn accepts_work(&self, now: Time) -> bool {
+        let quarantined = self.quarantined_until.is_some_and(|until| now < until);
+        self.has_reported
+            && self.is_persisted
             && self.listing == Listing::Listed
             && !self.entry.draining
             && !self.zone_evacuated
-            && self.silent == 0
+            && self.unanswered_polls == 0
             && self.leasing == Leasing::Allowed
             && !self.contested
-            && !set_aside
+            && !quarantined
     }
 
     /// Returns whether the instance is missing from the list, or the list has not been read yet.
     pub(super) fn is_missing(&self) -> bool {
         match self.listing {
             Listing::Listed | Listing::Unusable => false,
-            Listing::Unread | Listing::Lapsed | Listing::Gone { .. } => true,
+            Listing::Unread | Listing::Expired | Listing::Removed { .. } => true,
         }
     }
 
@@ -302,8 +305,8 @@
     pub(super) fn is_leaving(&self, now: Time) -> bool {
         match self.listing {
             _ if self.entry.draining => true,
-            Listing::Gone { certain_at } => certain_at <= now && self.silent == 0,
-            Listing::Unread | Listing::Listed | Listing::Unusable | Listing::Lapsed => false,
+            Listing::Removed { certain_at } => certain_at <= now && self.unanswered_polls == 0,
+            Listing::Unread | Listing::Listed | Listing::Unusable | Listing::Expired => false,
         }
     }
 
@@ -312,7 +315,7 @@
     pub(super) fn needs_check(&self, now: Time) -> bool {
         let poll_is_due =
             !self.poll_in_flight && self.next_poll_at.is_some_and(|due_at| due_at <= now);
-        poll_is_due || self.lapses_at <= now || self.is_leaving(now)
+        poll_is_due || self.leases_expire_by <= now || self.is_leaving(now)
     }
 
     /// Returns the runs here, as far as known.
@@ -330,7 +333,7 @@
 
     /// Returns whether a tail latency was above its target in the last report, with a best-effort
     /// run beside it.
-    pub(super) fn may_do_harm(&self) -> bool {
+    pub(super) fn exceeds_tail_target(&self) -> bool {
         self.fills() && self.runs.values().any(|run| run.over_since.is_some())
     }
 
@@ -351,14 +354,18 @@
     /// Returns the number of the last run end that a poll may acknowledge. Returns 0 if there is
     /// nothing new to acknowledge, or the poll may reach a later instance: that one numbers its
     /// ends from 1 and would drop ends that were never received.
-    pub(super) fn ends_to_tell(&self) -> u64 {
-        let is_sure = self.known && self.silent == 0 && !self.contested;
-        if is_sure && self.ends_kept > self.ends_told { self.ends_kept } else { 0 }
+    pub(super) fn end_to_acknowledge(&self) -> u64 {
+        let is_sure = self.has_reported && self.unanswered_polls == 0 && !self.contested;
+        if is_sure && self.last_end_persisted > self.last_end_acknowledged {
+            self.last_end_persisted
+        } else {
+            0
+        }
     }
 
     /// Returns whether an order that starts a run was sent and is not answered.
-    pub(super) fn start_is_on_its_way(&self) -> bool {
-        self.order_sent.is_some_and(|order| order.starts)
+    pub(super) fn has_start_in_flight(&self) -> bool {
+        self.order_in_flight.is_some_and(|order| order.starts)
     }
 
     /// Returns a run for updates of its state. Its size must not change, since the free resources
@@ -373,44 +380,44 @@
     }
 
     pub(super) fn insert_run(&mut self, task: TaskName, run: PlacedRun) {
-        self.room = None;
+        self.free_capacity = None;
         self.runs.insert(task, run);
     }
 
     /// Removes a run, if present.
     pub(super) fn remove_run(&mut self, task: TaskName, run: u32) -> Option<PlacedRun> {
         self.run_mut(task, run)?;
-        self.room = None;
+        self.free_capacity = None;
         self.runs.remove(&task)
     }
 
     pub(super) fn take_runs(&mut self) -> BTreeMap<TaskName, PlacedRun> {
-        self.room = None;
+        self.free_capacity = None;
         mem::take(&mut self.runs)
     }
 
     /// Records an answer of the worker to a request sent at `sent_at`.
-    pub(super) fn note_heard(&mut self, clock_ms: u64, sent_at: Time, now: Time) {
-        self.heard_at = Some(now);
-        self.silent = 0;
-        self.silent_since = None;
+    pub(super) fn record_answer(&mut self, clock_ms: u64, sent_at: Time, now: Time) {
+        self.last_answer_at = Some(now);
+        self.unanswered_polls = 0;
+        self.unanswered_since = None;
         self.suspects.clear();
-        self.silent_for_sure = false;
-        self.lapse_unconfirmed = false;
+        self.silent_while_owner_on_time = false;
+        self.expiry_unconfirmed = false;
         self.clock = Some(ClockReading { clock_ms, sent_at, received_at: now });
     }
 
-    pub(super) fn heard_ago_ms(&self, now: Time) -> Option<u64> {
-        self.heard_at.map(|heard_at| now.since(heard_at).as_millis() as u64)
+    pub(super) fn last_answer_age_ms(&self, now: Time) -> Option<u64> {
+        self.last_answer_at.map(|last_answer_at| now.since(last_answer_at).as_millis() as u64)
     }
 
     /// Records that runs may be leased until `lease` after now.
-    pub(super) fn note_leased(&mut self, lease: Duration, now: Time) {
-        self.lapses_at = self.lapses_at.max(now + lease);
+    pub(super) fn extend_leases(&mut self, lease: Duration, now: Time) {
+        self.leases_expire_by = self.leases_expire_by.max(now + lease);
     }
 
     /// Records that a run was confirmed to run.
-    pub(super) fn note_confirmed(&mut self, task: TaskName, run: u32, now: Time) {
+    pub(super) fn mark_running(&mut self, task: TaskName, run: u32, now: Time) {
         if let Some(known) = self.run_mut(task, run).filter(|known| !known.is_running()) {
             known.phase = Phase::Running(now);
         }
@@ -428,13 +435,16 @@
 
     /// Returns the time that a run is known to have run here, from the confirmation of its start to
     /// the worker's last answer; `None` if its start was not confirmed.
-    pub(super) fn known_to_run(&self, run: &PlacedRun) -> Option<Duration> {
+    pub(super) fn confirmed_run_time(&self, run: &PlacedRun) -> Option<Duration> {
         let Phase::Running(since) = run.phase else { return None };
-        Some(self.heard_at.map_or(Duration::ZERO, |heard_at| heard_at.since(since)))
+        Some(
+            self.last_answer_at
+                .map_or(Duration::ZERO, |last_answer_at| last_answer_at.since(since)),
+        )
     }
 
     /// Copies the percent and gauge of each known run from a report.
-    pub(super) fn note_running(&mut self, report: &Report) {
+    pub(super) fn update_running(&mut self, report: &Report) {
         for reported in &report.running {
             if let Some(run) = self.run_mut(reported.task, reported.run) {
                 run.percent = reported.percent;
--- a/crates/kitetrail-core/src/jobs/log_entry.rs
+++ b/crates/kitetrail-core/src/jobs/log_entry.rs
@@ -47,7 +47,7 @@
         free: Resources,
         /// The time since the worker's last answer, in milliseconds; `None` if it has never
         /// answered.
-        heard_ago_ms: Option<u64>,
+        last_answer_age_ms: Option<u64>,
     },
     /// A run ended.
     RunEnded {
@@ -156,7 +156,7 @@
         belief: &'static str,
         /// The time since the worker's last answer, in milliseconds; `None` if it has never
         /// answered.
-        heard_ago_ms: Option<u64>,
+        last_answer_age_ms: Option<u64>,
     },
     /// Only workers in availability zones under evacuation could run the tasks of a step. The tasks
     /// wait until an evacuation is cancelled.
--- a/crates/kitetrail-core/src/jobs/report.rs
+++ b/crates/kitetrail-core/src/jobs/report.rs
@@ -15,7 +15,7 @@
     pub lease_until_ms: Option<u64>,
     /// The number up to which run ends are acknowledged: they are durable and need not be reported
     /// again.
-    pub ends_kept: u64,
+    pub acknowledged_end: u64,
     /// The maximum time that the worker may wait for the end of a run before it answers, in
     /// milliseconds.
     pub wait_ms: u32,
--- a/crates/kitetrail-core/src/jobs/scheduler/commit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/commit.rs
@@ -67,7 +67,7 @@
     fn acknowledge_persisted_ends(&mut self) {
         for end in self.pending.take_kept_ends() {
             if let Some(instance) = self.instances.get_mut(end.instance) {
-                instance.ends_kept = instance.ends_kept.max(end.number);
+                instance.last_end_persisted = instance.last_end_persisted.max(end.number);
             }
         }
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/confirmation.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/confirmation.rs
@@ -16,15 +16,15 @@
     pub(super) fn silent_lease_has_expired(&mut self, instance_no: InstanceNo) -> bool {
         let now = self.now;
         let Some(instance) = self.instances.get_mut(instance_no) else { return false };
-        if instance.silent == 0 || instance.lapses_at > now {
+        if instance.unanswered_polls == 0 || instance.leases_expire_by > now {
             return false;
         }
-        let expired_at = instance.lapses_at;
+        let expired_at = instance.leases_expire_by;
         if self.pending.is_confirmed_since(expired_at) {
-            instance.lapse_unconfirmed = false;
+            instance.expiry_unconfirmed = false;
             return true;
         }
-        let newly_unconfirmed = !mem::replace(&mut instance.lapse_unconfirmed, true);
+        let newly_unconfirmed = !mem::replace(&mut instance.expiry_unconfirmed, true);
         self.pending.want_confirmation_since(expired_at);
         if newly_unconfirmed {
             self.log_worker_state(
--- a/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
@@ -77,14 +77,14 @@
         else {
             return Vec::new();
         };
-        let recorded = instance.begun_before.iter().copied().map(Suspect::from_recorded_start);
+        let recorded = instance.inherited_starts.iter().copied().map(Suspect::from_recorded_start);
         let mut suspects = recorded.chain(instance.suspects.iter().cloned()).collect::<Vec<_>>();
         suspects.extend(suspects_among(instance, self.now));
         let with_others = self.lost_with_others(instance);
         // If the worker left, is only unreachable, or was lost together with others, runs that had
         // lasted a while are not implicated.
         let implicates_all = end != InstanceEnd::Gone
-            && !matches!(instance.listing, Listing::Gone { .. })
+            && !matches!(instance.listing, Listing::Removed { .. })
             && !instance.zone_evacuated
             && !with_others;
         suspects.retain(|suspect| implicates_all || suspect.evidence != CrashEvidence::RanThere);
@@ -105,7 +105,7 @@
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
         let worker = instance.entry.key();
         let recorded =
-            mem::take(&mut instance.begun_before).into_iter().map(Suspect::from_recorded_start);
+            mem::take(&mut instance.inherited_starts).into_iter().map(Suspect::from_recorded_start);
         let suspects = recorded.chain(suspects_among(instance, self.now)).collect::<Vec<_>>();
         let is_watched = |suspect: &Suspect| {
             let job = self.jobs.get(&suspect.task.job);
@@ -167,15 +167,15 @@
     pub(super) fn check_suspects(&mut self, instance_no: InstanceNo) {
         let Some(instance) = self.instances.get(instance_no) else { return };
         let suspects = instance.runs().iter().filter(|(_, run)| run.suspected);
-        let confirmed =
-            suspects.filter_map(|(&task, run)| Some((task, run.run, instance.known_to_run(run)?)));
+        let confirmed = suspects
+            .filter_map(|(&task, run)| Some((task, run.run, instance.confirmed_run_time(run)?)));
         for (task, run, ran) in confirmed.collect::<Vec<_>>() {
             let cleared = self.clear_suspect(task, ran);
             let Some(instance) = self.instances.get_mut(instance_no) else { return };
             let Some(reported_run) = instance.run_mut(task, run) else { continue };
             reported_run.suspected &= !cleared;
             reported_run.alone &= ran < ISOLATION_PERIOD && !cleared;
-            instance.room = None;
+            instance.free_capacity = None;
             self.placement_needed = true;
         }
     }
@@ -194,14 +194,14 @@
 
     /// Returns whether several other workers fell silent at about the same time as this one.
     fn lost_with_others(&self, instance: &WorkerInstance) -> bool {
-        let silent_since = instance.silent_since.unwrap_or(self.now);
+        let unanswered_since = instance.unanswered_since.unwrap_or(self.now);
         let is_simultaneous = |time: Time| {
-            time.since(silent_since) < SIMULTANEOUS_LOSS_WINDOW
-                && silent_since.since(time) < SIMULTANEOUS_LOSS_WINDOW
+            time.since(unanswered_since) < SIMULTANEOUS_LOSS_WINDOW
+                && unanswered_since.since(time) < SIMULTANEOUS_LOSS_WINDOW
         };
         let others = self.instances.values().filter(|other| other.id() != instance.id());
         let silent =
-            others.filter_map(|other| other.silent_since).filter(|&time| is_simultaneous(time));
+            others.filter_map(|other| other.unanswered_since).filter(|&time| is_simultaneous(time));
         let ended = self.lost_workers.iter().filter(|lost| is_simultaneous(lost.lost_at));
         silent.count() + ended.count() > MAX_INDEPENDENT_LOSSES
     }
@@ -210,7 +210,7 @@
     pub(super) fn record_lost_worker(&mut self, instance: &WorkerInstance) {
         let now = self.now;
         self.lost_workers.retain(|lost| now.since(lost.lost_at) < LOST_WORKER_RETENTION);
-        let lost_at = instance.silent_since.unwrap_or(now);
+        let lost_at = instance.unanswered_since.unwrap_or(now);
         let (worker, address) = (instance.id().clone(), instance.entry.address.clone());
         self.lost_workers.push(LostWorker { lost_at, worker, address, token: instance.token });
     }
@@ -251,13 +251,13 @@
 
 /// Returns whether a run may have started just before its worker fell silent.
 fn is_recently_started(instance: &WorkerInstance, run: &PlacedRun) -> bool {
-    !run.adopted && instance.known_to_run(run).is_none_or(|ran| ran < RECENT_START_WINDOW)
+    !run.adopted && instance.confirmed_run_time(run).is_none_or(|ran| ran < RECENT_START_WINDOW)
 }
 
 /// Returns how long a run had lasted when its worker fell silent.
 fn run_duration_bounds(instance: &WorkerInstance, run: &PlacedRun, now: Time) -> RanFor {
     let Phase::Running(since) = run.phase else { return RanFor::UNKNOWN };
-    let least_ran = instance.known_to_run(run).unwrap_or_default();
-    let most_ran = instance.silent_since.unwrap_or(now).since(since).max(least_ran);
+    let least_ran = instance.confirmed_run_time(run).unwrap_or_default();
+    let most_ran = instance.unanswered_since.unwrap_or(now).since(since).max(least_ran);
     RanFor { least_ms: least_ran.as_millis() as u64, most_ms: most_ran.as_millis() as u64 }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/ends.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/ends.rs
@@ -26,10 +26,10 @@
     pub(super) fn handle_run_end(&mut self, instance_no: InstanceNo, end: &RunEnd) {
         let now = self.now;
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
-        if end.number <= instance.ends_seen {
+        if end.number <= instance.last_end_received {
             return self.log_ignored_end(instance_no, end);
         }
-        instance.ends_seen = end.number;
+        instance.last_end_received = end.number;
         let ended = instance.remove_run(end.task, end.run);
         let done = ended.as_ref().filter(|_| end.how == HowEnded::Done);
         let run_duration_ms = done.and_then(|run| run_duration_ms(run, now));
@@ -80,7 +80,7 @@
         let Some(instance) = self.instances.get(instance_no) else { return };
         if instance.runs().get(&end.task).is_some_and(|active_run| active_run.run == end.run) {
             let RunEnd { task, run, number, .. } = *end;
-            let (worker, seen) = (instance.id().clone(), instance.ends_seen);
+            let (worker, seen) = (instance.id().clone(), instance.last_end_received);
             self.out.push(Action::Log(LogEntry::EndPassedOver { task, run, worker, number, seen }));
         }
     }
@@ -106,7 +106,7 @@
     fn complete_task(&mut self, instance_no: InstanceNo, name: TaskName) {
         if let Some(instance) = self.instances.get_mut(instance_no) {
             instance.failures = 0;
-            instance.set_aside_times = 0;
+            instance.quarantine_count = 0;
         }
         let Some(job) = self.jobs.get_mut(&name.job).filter(|job| job.is_open()) else { return };
         let Some(spec) = job.step_spec(name.step) else { return };
--- a/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
@@ -126,8 +126,10 @@
         let last = self.evacuation.last_searched;
         let leaves =
             |instance: &WorkerInstance| instance.zone_evacuated && !instance.runs().is_empty();
-        let instances =
-            self.instances.iter().filter(|(_, instance)| leaves(instance) && instance.silent == 0);
+        let instances = self
+            .instances
+            .iter()
+            .filter(|(_, instance)| leaves(instance) && instance.unanswered_polls == 0);
         let mut instances = instances.map(|(instance_no, _)| instance_no).collect::<Vec<_>>();
         instances.sort_by_key(|&instance_no| {
             (last.is_some_and(|last| instance_no <= last), instance_no)
@@ -178,8 +180,10 @@
         };
         (0..).zip(&tasks.tasks).all(|(index, task)| {
             task.placed.iter().any(|placed| {
-                let instance =
-                    self.instances.get(placed.instance).filter(|instance| instance.silent == 0);
+                let instance = self
+                    .instances
+                    .get(placed.instance)
+                    .filter(|instance| instance.unanswered_polls == 0);
                 instance
                     .and_then(|instance| instance.runs().get(&step.task(index)))
                     .is_some_and(PlacedRun::is_at_work)
--- a/crates/kitetrail-core/src/jobs/scheduler/fit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/fit.rs
@@ -9,7 +9,7 @@
         run::PlacedRun,
         spec::StepSpec,
     },
-    free_capacity::{Room, added, capacity_millis, full_loads},
+    free_capacity::{FreeCapacity, added, capacity_millis, full_loads},
     lateness::Lateness,
     pace::OWN_STRESS_RISE,
     short_work::ShortWork,
@@ -81,23 +81,23 @@
         &self,
         instance_no: InstanceNo,
         instance: &WorkerInstance,
-        room: &Room,
+        free_capacity: &FreeCapacity,
     ) -> Option<f64> {
         let spec = self.spec;
         let has_label =
             spec.label.as_ref().is_none_or(|label| instance.entry.labels.contains(label));
-        if !has_label || !self.has_room(instance_no, instance, room) {
+        if !has_label || !self.has_room(instance_no, instance, free_capacity) {
             return None;
         }
-        let interference = self.interference(instance, room)?;
+        let interference = self.interference(instance, free_capacity)?;
         let fullness = match (spec.fills, spec.lasts) {
-            (true, _) => 1.0 - room.best_effort_share,
+            (true, _) => 1.0 - free_capacity.best_effort_share,
             // Long-running tasks are packed, so that room for large tasks is not fragmented. So are
             // short tasks of which few fit on a worker. Other short tasks are spread, so that every
             // worker keeps some capacity for best-effort tasks.
-            (false, true) => room.free_share,
-            (false, false) if self.short_work.is_packed() => room.free_share,
-            (false, false) => 1.0 - room.free_share,
+            (false, true) => free_capacity.free_share,
+            (false, false) if self.short_work.is_packed() => free_capacity.free_share,
+            (false, false) => 1.0 - free_capacity.free_share,
         };
         let is_far =
             spec.near_rack.as_ref().is_some_and(|near| !instance.entry.labels.contains(near));
@@ -117,13 +117,13 @@
 
     /// Returns the interference between the task and the tasks on the worker, or `None` if it is so
     /// high that the task should wait instead.
-    fn interference(&self, instance: &WorkerInstance, room: &Room) -> Option<f64> {
+    fn interference(&self, instance: &WorkerInstance, free_capacity: &FreeCapacity) -> Option<f64> {
         let spec = self.spec;
         let load = f64::from(spec.size.cpu_millis.0) / capacity_millis(instance);
         match (spec.fills, spec.tail_target_ms.is_some()) {
             (true, _) => {
                 let min_pace = if spec.keeps_progress { MIN_PACE } else { MIN_PACE_IMMOVABLE };
-                let headroom = room.headroom(instance, self.tails);
+                let headroom = free_capacity.headroom(instance, self.tails);
                 let pace =
                     |stress_rise| headroom.expected_pace(self.tails, self.image, load, stress_rise);
                 if pace(0.0) < min_pace {
@@ -136,8 +136,9 @@
             }
             (_, true) => {
                 let stress = added(self.tails, &full_loads(instance), self.image).min(1.0);
-                let serves_only_others =
-                    room.headroom(instance, self.tails).serves_only_other_images(self.image);
+                let serves_only_others = free_capacity
+                    .headroom(instance, self.tails)
+                    .serves_only_other_images(self.image);
                 Some(stress + if serves_only_others { OTHER_IMAGE_WEIGHT } else { 0.0 })
             }
             _ => Some(0.0),
@@ -146,8 +147,13 @@
 
     /// Returns whether a worker with room for the task still has it once the gang members chosen
     /// for it are started.
-    fn has_room(&self, instance_no: InstanceNo, instance: &WorkerInstance, room: &Room) -> bool {
-        if instance.runs().contains_key(&self.name) || room.has_lone_suspect {
+    fn has_room(
+        &self,
+        instance_no: InstanceNo,
+        instance: &WorkerInstance,
+        free_capacity: &FreeCapacity,
+    ) -> bool {
+        if instance.runs().contains_key(&self.name) || free_capacity.has_lone_suspect {
             return false;
         }
         let members_on_worker =
@@ -156,7 +162,7 @@
             return false;
         }
         !self.is_at_step_limit(instance, members_on_worker)
-            && room.left.fits_beside(self.spec, members_on_worker)
+            && free_capacity.free.fits_beside(self.spec, members_on_worker)
     }
 
     /// Returns whether a worker already runs as many tasks of the step as `max_per_worker` allows.
@@ -170,9 +176,10 @@
 
 /// Returns the cost of placing a task suspected of crashing workers on a worker.
 fn crash_cost(instance: &WorkerInstance, now: Time) -> f64 {
-    let silent_for = instance.heard_at.map_or(Duration::ZERO, |heard_at| now.since(heard_at));
+    let silent_for =
+        instance.last_answer_at.map_or(Duration::ZERO, |last_answer_at| now.since(last_answer_at));
     let silence_cost = SILENCE_WEIGHT_PER_S * silent_for.as_secs_f64();
-    let recent_crash_cost = if instance.fell_of_late { RECENT_CRASH_WEIGHT } else { 0.0 };
+    let recent_crash_cost = if instance.crashed_recently { RECENT_CRASH_WEIGHT } else { 0.0 };
     let weight =
         |run: &PlacedRun| if run.lasts { LOST_LONG_RUNNING_WEIGHT } else { LOST_RUN_WEIGHT };
     recent_crash_cost + silence_cost + instance.runs().values().map(weight).sum::<f64>()
--- a/crates/kitetrail-core/src/jobs/scheduler/free_capacity.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/free_capacity.rs
@@ -21,8 +21,8 @@
 
 /// The remaining capacity of a worker, and what else its score depends on.
 #[derive(Debug, Clone)]
-pub(in crate::jobs) struct Room {
-    pub(super) left: Remaining,
+pub(in crate::jobs) struct FreeCapacity {
+    pub(super) free: Remaining,
     /// Whether a task suspected of crashing workers runs alone on the worker.
     pub(super) has_lone_suspect: bool,
     /// The number of short tasks on the worker: those that reserve processor time and end by
@@ -75,7 +75,7 @@
     }
 }
 
-impl Room {
+impl FreeCapacity {
     pub(super) fn of(instance: &WorkerInstance) -> Self {
         let Usage { reserved, used_millis, best_effort_millis, short_tasks } = Usage::of(instance);
         let capacity = instance.entry.capacity;
@@ -86,7 +86,7 @@
             max_committed.saturating_sub(used_millis + best_effort_millis);
         let share = |left: u32| f64::from(left) / f64::from(cpu.max(1));
         Self {
-            left: Remaining { free, best_effort_millis_left },
+            free: Remaining { free, best_effort_millis_left },
             has_lone_suspect: instance.runs().values().any(|run| run.alone),
             short_tasks,
             free_share: share(free.cpu_millis.0),
--- a/crates/kitetrail-core/src/jobs/scheduler/gauges.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/gauges.rs
@@ -15,7 +15,7 @@
 /// Updates the interference model from a worker's latest report.
 pub(super) fn learn(tails: &mut TailModel, instance: &mut WorkerInstance, now: Time) {
     let loads = loads_in_window(instance, now);
-    instance.room = None;
+    instance.free_capacity = None;
     for (_, run) in instance.runs_mut() {
         let (Some(tail_ms), Some(target_ms)) = (run.gauge, run.tail_target_ms) else { continue };
         if tail_ms == 0 {
--- a/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
@@ -93,7 +93,8 @@
     ) -> ReportSource {
         let Some(instance) = self.instances.get(instance_no) else { return ReportSource::Unknown };
         let is_last = self.instances.of_worker(instance.id()).last() == Some(&instance_no);
-        let answered_since = instance.heard_at.is_some_and(|heard_at| heard_at >= sent_at);
+        let answered_since =
+            instance.last_answer_at.is_some_and(|last_answer_at| last_answer_at >= sent_at);
         match report.incarnation {
             None if instance.contested && !is_last => ReportSource::Unknown,
             None => ReportSource::ThisInstance,
@@ -131,7 +132,7 @@
             }
             Some(_) | None => {}
         }
-        instance.note_heard(clock_ms, sent_at, now);
+        instance.record_answer(clock_ms, sent_at, now);
         self.resume_leasing(instance_no);
         Executor::ThisInstance
     }
@@ -156,7 +157,8 @@
         let precedes = instance.precedes(sent_at);
         match self.find_instance_for_entry(&entry) {
             Some(other)
-                if precedes && self.instances.get(other).is_some_and(|other| other.known) =>
+                if precedes
+                    && self.instances.get(other).is_some_and(|other| other.has_reported) =>
             {
                 self.log_worker_restart(instance_no, other);
                 self.end_instance(instance_no, InstanceEnd::StartedAgain);
@@ -186,7 +188,7 @@
         // Such a lease lasts at most as long as the longest lease that workers grant.
         let leased_until = self.now + self.longest_lease_expiry_delay();
         if let Some(instance) = self.instances.get_mut(instance_no) {
-            instance.lapses_at = instance.lapses_at.max(leased_until);
+            instance.leases_expire_by = instance.leases_expire_by.max(leased_until);
         }
         for instance in instances {
             if let Some(instance) = self.instances.get_mut(instance) {
@@ -202,7 +204,7 @@
 
     /// Sends a poll to a worker at once, unless one is in flight or the worker is silent.
     fn send_poll_now(&mut self, instance_no: InstanceNo) {
-        if self.instances.get(instance_no).is_some_and(|instance| instance.silent == 0) {
+        if self.instances.get(instance_no).is_some_and(|instance| instance.unanswered_polls == 0) {
             self.schedule_poll_within(instance_no, Duration::ZERO);
             self.send_poll_if_due(instance_no);
         }
@@ -262,19 +264,19 @@
             }
         }
         if let Some(instance) = self.instances.get_mut(after) {
-            instance.fell_of_late = true;
+            instance.crashed_recently = true;
         }
     }
 
     /// Logs that a worker has restarted under the same id.
     pub(super) fn log_worker_restart(&mut self, before: InstanceNo, after: InstanceNo) {
         let Some(instance) = self.instances.get(before) else { return };
-        if !instance.known && !self.unheard.contains(&before) {
+        if !instance.has_reported && !self.unheard.contains(&before) {
             // The incarnation came from a late entry.
             return;
         }
         let now = self.instances.get(after).and_then(|instance| instance.entry.incarnation);
-        let (worker, ends_seen) = (instance.id().clone(), instance.ends_seen);
+        let (worker, ends_seen) = (instance.id().clone(), instance.last_end_received);
         let (before, runs) = (instance.entry.incarnation, instance.runs().len() as u32);
         let entry = LogEntry::WorkerRestarted { worker, before, now, ends_seen, runs };
         self.out.push(Action::Log(entry));
--- a/crates/kitetrail-core/src/jobs/scheduler/inherit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/inherit.rs
@@ -84,7 +84,7 @@
             if let Some(instance) =
                 self.instances.get_mut(instance_no).filter(|instance| !instance.contested)
             {
-                instance.lapses_at = instance.lapses_at.min(expires_at);
+                instance.leases_expire_by = instance.leases_expire_by.min(expires_at);
             }
         }
     }
@@ -103,8 +103,8 @@
     fn add_inherited_instance(
         &mut self,
         record: InstanceRecord,
-        begun_before: Vec<TaskName>,
-        lapses_at: Time,
+        inherited_starts: Vec<TaskName>,
+        leases_expire_by: Time,
     ) {
         let leasing = if record.not_leased { Leasing::Ended } else { Leasing::Allowed };
         let entry = WorkerEntry {
@@ -120,12 +120,12 @@
             capacity: Resources::default(),
             labels: Vec::new(),
         };
-        let instance_no = self.insert_instance(entry, lapses_at);
+        let instance_no = self.insert_instance(entry, leases_expire_by);
         if let Some(instance) = self.instances.get_mut(instance_no) {
             instance.listing = Listing::Unread;
-            instance.recorded = true;
+            instance.is_persisted = true;
             instance.leasing = leasing;
-            instance.begun_before = begun_before;
+            instance.inherited_starts = inherited_starts;
         }
         self.unheard.insert(instance_no);
         self.mark_contested(instance_no);
--- a/crates/kitetrail-core/src/jobs/scheduler/leasing.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/leasing.rs
@@ -25,8 +25,8 @@
         let now = self.now;
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
         let silent_too_long =
-            instance.silent_since.is_some_and(|time| now.since(time) >= STOP_LEASING_AFTER);
-        let may_record = instance.known && instance.recorded && !instance.contested;
+            instance.unanswered_since.is_some_and(|time| now.since(time) >= STOP_LEASING_AFTER);
+        let may_record = instance.has_reported && instance.is_persisted && !instance.contested;
         if silent_too_long && may_record && instance.leasing == Leasing::Allowed {
             instance.leasing = Leasing::Ended;
             self.pending.rewrite_instance(instance_no);
@@ -54,7 +54,7 @@
     /// Handles the confirmation that the row of an incarnation is persisted.
     pub(super) fn mark_instance_persisted(&mut self, instance_no: InstanceNo) {
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
-        instance.recorded = true;
+        instance.is_persisted = true;
         if !instance.sent_not_leased && instance.leasing == Leasing::Resumed {
             instance.leasing = Leasing::Allowed;
             self.schedule_poll_within(instance_no, Duration::ZERO);
--- a/crates/kitetrail-core/src/jobs/scheduler/mod.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/mod.rs
@@ -291,8 +291,8 @@
     fn log_worker_state(&mut self, instance_no: InstanceNo, belief: &'static str) {
         let Some(instance) = self.instances.get(instance_no) else { return };
         let worker = instance.id().clone();
-        let heard_ago_ms = instance.heard_ago_ms(self.now);
-        self.out.push(Action::Log(LogEntry::Worker { worker, belief, heard_ago_ms }));
+        let last_answer_age_ms = instance.last_answer_age_ms(self.now);
+        self.out.push(Action::Log(LogEntry::Worker { worker, belief, last_answer_age_ms }));
     }
 
     /// Returns the fencing token that a worker incarnation starts with under this owner.
--- a/crates/kitetrail-core/src/jobs/scheduler/orders.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/orders.rs
@@ -88,7 +88,8 @@
     pub(super) fn send_next_order(&mut self, instance_no: InstanceNo) {
         let (now, lease, lease_expiry_delay) = (self.now, self.lease, self.lease_expiry_delay());
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
-        if instance.order_sent.is_some() || instance.silent > 0 || instance.contested {
+        if instance.order_in_flight.is_some() || instance.unanswered_polls > 0 || instance.contested
+        {
             return;
         }
         let Some(clock_ms) = instance.clock_ms(now) else { return };
@@ -108,9 +109,9 @@
             return self.send_next_order(instance_no);
         }
         if starts {
-            instance.note_leased(lease_expiry_delay, now);
+            instance.extend_leases(lease_expiry_delay, now);
         }
-        instance.order_sent = Some(SentOrder { at: now, starts });
+        instance.order_in_flight = Some(SentOrder { at: now, starts });
         let action = Action::Order {
             instance: instance_no,
             entry: Arc::clone(&instance.entry),
@@ -130,7 +131,7 @@
     ) {
         let now = self.now;
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
-        let sent_at = instance.order_sent.take().map_or(now, |order| order.at);
+        let sent_at = instance.order_in_flight.take().map_or(now, |order| order.at);
         if !matches!(answer, OrderAnswer::Done { .. }) {
             let (task, run) = order.run();
             let worker = instance.id().clone();
@@ -164,9 +165,9 @@
     pub(super) fn raise_token_after_silence(&mut self, instance_no: InstanceNo) {
         self.raise_shared_token(instance_no);
         if let Some(instance) = self.instances.get_mut(instance_no) {
-            instance.silent += 1;
-            instance.silent_since.get_or_insert(self.now);
-            instance.silent_for_sure |= self.overload.silence_proves();
+            instance.unanswered_polls += 1;
+            instance.unanswered_since.get_or_insert(self.now);
+            instance.silent_while_owner_on_time |= self.overload.silence_proves();
         }
     }
 
@@ -213,7 +214,7 @@
         let Some(instance) = self.instances.get(instance_no) else { return };
         let Some(run_state) = instance.runs().get(&task) else { return };
         let (run, worker) = (run_state.run, instance.id().clone());
-        let ran_ms = instance.known_to_run(run_state).map(|ran| ran.as_millis() as u64);
+        let ran_ms = instance.confirmed_run_time(run_state).map(|ran| ran.as_millis() as u64);
         let beside = instance.runs().len().saturating_sub(1) as u32;
         self.out.push(Action::Log(LogEntry::RunGivenUp { task, run, worker, why, ran_ms, beside }));
     }
@@ -266,7 +267,7 @@
         }
         match refusal {
             Refusal::Fenced => self.handle_fenced_order(instance_no),
-            Refusal::Unhealthy => self.set_aside_unhealthy(instance_no),
+            Refusal::Unhealthy => self.quarantine_unhealthy(instance_no),
             Refusal::Malformed => self.delay_task(task, self.now + MALFORMED_ORDER_BACKOFF),
             Refusal::Old | Refusal::Late | Refusal::Room | Refusal::Ticket => {}
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/pass.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pass.rs
@@ -72,8 +72,9 @@
     pub(super) fn begin_pass(&mut self) -> PlacementPass {
         self.refresh_rooms();
         let candidate = |(instance_no, instance): (InstanceNo, &WorkerInstance)| {
-            let room = instance.room.as_ref().filter(|_| instance.takes_work(self.now))?;
-            Some(Candidate { instance_no, left: room.left })
+            let free_capacity =
+                instance.free_capacity.as_ref().filter(|_| instance.accepts_work(self.now))?;
+            Some(Candidate { instance_no, left: free_capacity.free })
         };
         let candidates = self.instances.iter().filter_map(candidate).collect();
         PlacementPass {
--- a/crates/kitetrail-core/src/jobs/scheduler/place.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/place.rs
@@ -17,7 +17,7 @@
     },
     Scheduler,
     fit::Fit,
-    free_capacity::Room,
+    free_capacity::FreeCapacity,
     lateness::{Lateness, PlacementRank},
     pass::PlacementPass,
     ranking::Ranking,
@@ -123,8 +123,8 @@
     /// Returns how well a worker suits a task, where lower is better, or `None` if it can't run it.
     fn score(&mut self, name: TaskName, spec: &StepSpec, instance_no: InstanceNo) -> Option<f64> {
         let instance = self.instances.get_mut(instance_no)?;
-        if instance.room.is_none() {
-            instance.room = Some(Room::of(instance));
+        if instance.free_capacity.is_none() {
+            instance.free_capacity = Some(FreeCapacity::of(instance));
         }
         self.score_up_to_date(name, spec, instance_no)
     }
@@ -182,9 +182,12 @@
         instance_no: InstanceNo,
         instance: &WorkerInstance,
     ) -> Option<f64> {
-        let room = instance.room.as_ref().filter(|room| room.left.fits(fit.spec))?;
-        let is_eligible = instance.takes_work(self.now) && instance.entry.service == fit.service;
-        if is_eligible { fit.score(instance_no, instance, room) } else { None }
+        let free_capacity = instance
+            .free_capacity
+            .as_ref()
+            .filter(|free_capacity| free_capacity.free.fits(fit.spec))?;
+        let is_eligible = instance.accepts_work(self.now) && instance.entry.service == fit.service;
+        if is_eligible { fit.score(instance_no, instance, free_capacity) } else { None }
     }
 
     /// Places all members of a gang or none.
@@ -218,8 +221,10 @@
 
     /// Recomputes the remaining capacity of the workers on which something changed.
     pub(super) fn refresh_rooms(&mut self) {
-        for instance in self.instances.values_mut().filter(|instance| instance.room.is_none()) {
-            instance.room = Some(Room::of(instance));
+        for instance in
+            self.instances.values_mut().filter(|instance| instance.free_capacity.is_none())
+        {
+            instance.free_capacity = Some(FreeCapacity::of(instance));
         }
     }
 
@@ -264,8 +269,12 @@
             task: name,
             run,
             worker: instance.id().clone(),
-            free: instance.room.as_ref().map(|room| room.left.free).unwrap_or_default(),
-            heard_ago_ms: instance.heard_ago_ms(self.now),
+            free: instance
+                .free_capacity
+                .as_ref()
+                .map(|free_capacity| free_capacity.free.free)
+                .unwrap_or_default(),
+            last_answer_age_ms: instance.last_answer_age_ms(self.now),
         }));
         if !spec.fills && !spec.lasts {
             self.short_work.record_size(spec.size.cpu_millis.0);
--- a/crates/kitetrail-core/src/jobs/scheduler/poll_answers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/poll_answers.rs
@@ -46,8 +46,8 @@
             }
             Err(PollFailure::Fenced) => self.handle_fenced_poll(instance_no, poll.token),
             Err(PollFailure::Unhealthy) => {
-                instance.silent += 1;
-                self.set_aside_unhealthy(instance_no);
+                instance.unanswered_polls += 1;
+                self.quarantine_unhealthy(instance_no);
             }
             Err(PollFailure::Unanswered) => self.handle_silence(instance_no),
         }
@@ -72,7 +72,7 @@
     }
 
     fn handle_silence(&mut self, instance_no: InstanceNo) {
-        if self.instances.get(instance_no).is_some_and(|instance| instance.silent == 0) {
+        if self.instances.get(instance_no).is_some_and(|instance| instance.unanswered_polls == 0) {
             self.log_worker_state(instance_no, "silent");
         }
         self.raise_token_after_silence(instance_no);
@@ -90,19 +90,19 @@
         if self
             .instances
             .get(instance_no)
-            .is_some_and(|instance| instance.silent > 0 && instance.known)
+            .is_some_and(|instance| instance.unanswered_polls > 0 && instance.has_reported)
         {
             self.log_worker_state(instance_no, "answers again");
         }
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
-        let first = !instance.known;
-        instance.known = true;
-        instance.note_heard(report.clock_ms, sent_at, now);
+        let first = !instance.has_reported;
+        instance.has_reported = true;
+        instance.record_answer(report.clock_ms, sent_at, now);
         self.resume_leasing(instance_no);
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
-        instance.ends_told = instance.ends_told.max(poll.ends_kept);
+        instance.last_end_acknowledged = instance.last_end_acknowledged.max(poll.acknowledged_end);
         let contested = instance.contested;
-        instance.note_running(report);
+        instance.update_running(report);
         self.unheard.remove(&instance_no);
         if first || contested {
             self.end_earlier_instances(instance_no, sent_at, report);
@@ -134,7 +134,7 @@
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
         match instance.runs().get(&name).map(|run_state| run_state.run) {
             Some(expected) if expected != run => return,
-            Some(_) => instance.note_confirmed(name, run, now),
+            Some(_) => instance.mark_running(name, run, now),
             None => self.adopt(instance_no, running),
         }
         match is_wanted {
@@ -147,7 +147,7 @@
     /// about to start there that it does not run never ran.
     fn clear_unstarted(&mut self, instance_no: InstanceNo, report: &Report) {
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
-        for name in mem::take(&mut instance.begun_before) {
+        for name in mem::take(&mut instance.inherited_starts) {
             let runs = report.running.iter().any(|running| running.task == name);
             let Some(task) = self.task_mut(name).filter(|_| !runs) else { continue };
             task.crashes.begun = None;
--- a/crates/kitetrail-core/src/jobs/scheduler/polls.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/polls.rs
@@ -44,8 +44,8 @@
         if instance.poll_in_flight || instance.next_poll_at.is_none_or(|due_at| due_at > now) {
             return;
         }
-        let ends_kept = instance.ends_to_tell();
-        if ends_kept > 0 && instance.start_is_on_its_way() {
+        let acknowledged_end = instance.end_to_acknowledge();
+        if acknowledged_end > 0 && instance.has_start_in_flight() {
             // The answer to the start shows whether a later incarnation received it. That one must
             // not get the acknowledgement, which it would apply to its own ends.
             return;
@@ -53,14 +53,14 @@
         let wait_ms = wait_ms(instance);
         // The lease of a silent worker is left to expire, because even an unanswered renewal may
         // take effect.
-        let may_lease = instance.silent == 0 && instance.leasing == Leasing::Allowed;
+        let may_lease = instance.unanswered_polls == 0 && instance.leasing == Leasing::Allowed;
         let lease_clock_ms = instance.clock_ms(now).filter(|_| may_lease);
         let lease_until_ms = lease_clock_ms.map(|clock_ms| clock_ms + lease.as_millis() as u64);
         if lease_until_ms.is_some() {
-            instance.note_leased(lease_expiry_delay, now);
+            instance.extend_leases(lease_expiry_delay, now);
         }
         instance.poll_in_flight = true;
-        let poll = Poll { token: instance.token, lease_until_ms, ends_kept, wait_ms };
+        let poll = Poll { token: instance.token, lease_until_ms, acknowledged_end, wait_ms };
         self.out.push(Action::Poll {
             instance: instance_no,
             entry: Arc::clone(&instance.entry),
@@ -77,13 +77,15 @@
         let fleet_cycle = Duration::from_secs_f64(self.instances.len() as f64 / TARGET_POLLS_PER_S);
         let extra_pause = fleet_cycle.saturating_sub(USUAL_POLL_CYCLE);
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
-        let pause = match instance.silent {
+        let pause = match instance.unanswered_polls {
             0 if instance.contested => POLL_PAUSE,
-            0 if instance.runs().is_empty() && instance.ends_told >= instance.ends_seen => {
+            0 if instance.runs().is_empty()
+                && instance.last_end_acknowledged >= instance.last_end_received =>
+            {
                 POLL_PAUSE_IDLE
             }
             0 if instance.runs().is_empty() => POLL_PAUSE_UNACKNOWLEDGED,
-            0 if instance.may_do_harm() => POLL_PAUSE,
+            0 if instance.exceeds_tail_target() => POLL_PAUSE,
             0 => POLL_PAUSE + extra_pause + self.overload.poll_pause(),
             failed_polls => (POLL_RETRY_STEP * failed_polls).min(MAX_POLL_RETRY),
         };
@@ -102,9 +104,9 @@
 
 /// Returns how long a worker may wait for an end before it answers, in milliseconds.
 fn wait_ms(instance: &WorkerInstance) -> u32 {
-    let is_leased = instance.silent == 0 && instance.leasing == Leasing::Allowed;
+    let is_leased = instance.unanswered_polls == 0 && instance.leasing == Leasing::Allowed;
     let immediate =
-        !is_leased || instance.contested || !instance.known || instance.runs().is_empty();
+        !is_leased || instance.contested || !instance.has_reported || instance.runs().is_empty();
     let shared = instance.serves() && instance.fills();
     match (immediate, shared) {
         (true, _) => 0,
--- a/crates/kitetrail-core/src/jobs/scheduler/quarantine.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/quarantine.rs
@@ -22,20 +22,20 @@
 
 impl Scheduler {
     /// Sets aside a worker that reports itself unhealthy.
-    pub(super) fn set_aside_unhealthy(&mut self, instance_no: InstanceNo) {
+    pub(super) fn quarantine_unhealthy(&mut self, instance_no: InstanceNo) {
         if let Some(instance) = self.instances.get_mut(instance_no) {
-            instance.set_aside_until =
-                instance.set_aside_until.max(Some(self.now + UNHEALTHY_DURATION));
+            instance.quarantined_until =
+                instance.quarantined_until.max(Some(self.now + UNHEALTHY_DURATION));
         }
     }
 
     /// Sets aside a worker whose runs make no progress.
-    pub(super) fn set_aside_hanging(&mut self, instance_no: InstanceNo) {
+    pub(super) fn quarantine_hanging(&mut self, instance_no: InstanceNo) {
         let now = self.now;
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
-        let already_set_aside = instance.set_aside_until.is_some_and(|until| until > now);
-        instance.set_aside_until = instance.set_aside_until.max(Some(now + HANGING_DURATION));
-        if !already_set_aside {
+        let already_quarantined = instance.quarantined_until.is_some_and(|until| until > now);
+        instance.quarantined_until = instance.quarantined_until.max(Some(now + HANGING_DURATION));
+        if !already_quarantined {
             self.log_worker_state(instance_no, "set aside: its runs stand still");
         }
     }
@@ -48,16 +48,16 @@
         let now = self.now;
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
         instance.failures += 1;
-        let is_set_aside = instance.set_aside_until.is_some_and(|until| until > now);
-        if instance.failures < CONSECUTIVE_FAILURE_LIMIT || is_set_aside {
+        let is_quarantined = instance.quarantined_until.is_some_and(|until| until > now);
+        if instance.failures < CONSECUTIVE_FAILURE_LIMIT || is_quarantined {
             return;
         }
-        let doublings = instance.set_aside_times.min(MAX_DOUBLINGS);
+        let doublings = instance.quarantine_count.min(MAX_DOUBLINGS);
         let pause = (SET_ASIDE_DURATION * 2_u32.pow(doublings)).min(MAX_SET_ASIDE_DURATION);
-        instance.set_aside_times = doublings + 1;
+        instance.quarantine_count = doublings + 1;
         // After the pause, a single failure sets the worker aside again.
         instance.failures = CONSECUTIVE_FAILURE_LIMIT - 1;
-        instance.set_aside_until = Some(now + pause);
+        instance.quarantined_until = Some(now + pause);
         self.log_worker_state(instance_no, "set aside: its runs fail");
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/short_work.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/short_work.rs
@@ -81,7 +81,10 @@
         self.refresh_rooms();
         let (mut running, mut total_millis) = (0, 0.0);
         for instance in self.instances.values() {
-            running += instance.room.as_ref().map_or(0, |room| room.short_tasks);
+            running += instance
+                .free_capacity
+                .as_ref()
+                .map_or(0, |free_capacity| free_capacity.short_tasks);
             total_millis += capacity_millis(instance);
         }
         self.short_work.update_need(running + waiting, self.now);
@@ -126,10 +129,10 @@
     fn short_slots_and_places(&mut self, cpu_millis: u32) -> (u32, u32) {
         self.refresh_rooms();
         let (mut slots, mut places) = (0, 0);
-        for instance in self.instances.values().filter(|instance| instance.takes_work(self.now)) {
-            let Some(room) = &instance.room else { continue };
-            let free_millis = room.left.free.cpu_millis.0;
-            slots += self.short_work.slots_in(free_millis) + room.short_tasks;
+        for instance in self.instances.values().filter(|instance| instance.accepts_work(self.now)) {
+            let Some(free_capacity) = &instance.free_capacity else { continue };
+            let free_millis = free_capacity.free.free.cpu_millis.0;
+            slots += self.short_work.slots_in(free_millis) + free_capacity.short_tasks;
             places += free_millis / cpu_millis.max(1);
         }
         (slots, places)
--- a/crates/kitetrail-core/src/jobs/scheduler/slowed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/slowed.rs
@@ -58,7 +58,7 @@
         let instance = self.instances.get(instance_no)?;
         let image = *self.jobs.get(&name.job)?.images.get(name.step as usize)?;
         let load = f64::from(spec.size.cpu_millis.0) / capacity_millis(instance);
-        let headroom = instance.room.as_ref()?.headroom(instance, &self.tails);
+        let headroom = instance.free_capacity.as_ref()?.headroom(instance, &self.tails);
         Some(headroom.expected_pace(&self.tails, image, load, 0.0))
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/unlisted.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/unlisted.rs
@@ -36,7 +36,7 @@
         let (now, returns_by) = (self.now, until + RELIST_GRACE_PERIOD);
         for instance in self.instances.values_mut() {
             match &mut instance.listing {
-                Listing::Gone { certain_at } if *certain_at > now => {
+                Listing::Removed { certain_at } if *certain_at > now => {
                     *certain_at = returns_by.max(*certain_at);
                 }
                 _ => {}
@@ -83,10 +83,10 @@
         let store_was_up =
             |silent_for| outage_until.is_none_or(|until| now.since(until) > silent_for);
         match lapsed {
-            Some(silent_for) if store_was_up(silent_for) => Listing::Lapsed,
+            Some(silent_for) if store_was_up(silent_for) => Listing::Expired,
             _ => {
                 let returns_by = outage_until.map(|until| until + RELIST_GRACE_PERIOD);
-                Listing::Gone { certain_at: returns_by.map_or(now, |time| time.max(now)) }
+                Listing::Removed { certain_at: returns_by.map_or(now, |time| time.max(now)) }
             }
         }
     }
@@ -95,7 +95,7 @@
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
         instance.listing = listing;
         let belief = match listing {
-            Listing::Lapsed => "not listed: its heartbeats stopped",
+            Listing::Expired => "not listed: its heartbeats stopped",
             _ => "not listed",
         };
         self.log_worker_state(instance_no, belief);
@@ -116,8 +116,10 @@
         let placed =
             self.jobs.get(&name.job).and_then(|job| job.task(name)).map(|task| &task.placed);
         placed.into_iter().flatten().any(|placed| {
-            let instance =
-                self.instances.get(placed.instance).filter(|instance| instance.silent == 0);
+            let instance = self
+                .instances
+                .get(placed.instance)
+                .filter(|instance| instance.unanswered_polls == 0);
             instance
                 .and_then(|instance| instance.runs().get(&name))
                 .is_some_and(PlacedRun::is_at_work)
--- a/crates/kitetrail-core/src/jobs/scheduler/workers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/workers.rs
@@ -56,7 +56,7 @@
         let earlier = self
             .instances
             .iter()
-            .filter(|(_, other)| other.shares_place(&entry) && other.precedes(sent_at))
+            .filter(|(_, other)| other.conflicts_with(&entry) && other.precedes(sent_at))
             .map(|(instance_no, other)| (instance_no, other.id() == &entry.id));
         for (earlier, same_id) in earlier.collect::<Vec<_>>() {
             if same_id {
@@ -80,7 +80,7 @@
         self.inherited_crashed |= self.unheard.remove(&instance_no);
         self.record_lost_worker(&instance);
         self.record_crash(&instance.entry.key(), suspects);
-        self.pending.remove_instance(instance_no, instance.entry.key(), instance.recorded);
+        self.pending.remove_instance(instance_no, instance.entry.key(), instance.is_persisted);
         self.resolve_contest(instance.id());
         self.placement_needed = true;
     }
@@ -90,14 +90,14 @@
         self.stop_leasing_if_silent(instance_no);
         let lease_has_expired = self.silent_lease_has_expired(instance_no);
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
-        let grace_is_over = self.now.since(instance.lapses_at) >= LATE_ANSWER_GRACE;
+        let grace_is_over = self.now.since(instance.leases_expire_by) >= LATE_ANSWER_GRACE;
         match lease_has_expired {
             true if instance.is_missing() => {
                 return self.end_instance(instance_no, InstanceEnd::Gone);
             }
             // The ends of its runs may be in answers that were received but not read, so a lagging
             // owner polls again.
-            true if instance.silent_for_sure || grace_is_over => {
+            true if instance.silent_while_owner_on_time || grace_is_over => {
                 self.inherited_crashed |= self.unheard.remove(&instance_no);
                 self.drop_runs_of_silent_worker(instance_no);
             }
@@ -115,10 +115,13 @@
         else {
             return;
         };
-        if instance.evacuated_at.is_some_and(|time| now.since(time) < EVACUATION_INTERVAL) {
+        if instance
+            .last_evacuation_attempt_at
+            .is_some_and(|time| now.since(time) < EVACUATION_INTERVAL)
+        {
             return;
         }
-        instance.evacuated_at = Some(now);
+        instance.last_evacuation_attempt_at = Some(now);
         let must_move = |run: &PlacedRun| {
             let saved = run.keeps_progress && run.percent < MAX_PERCENT_TO_MOVE;
             !run.stopping && run.is_running() && (run.lasts || saved)
@@ -157,7 +160,7 @@
         let shrank = !instance.entry.capacity.fits_in(&entry.capacity);
         instance.listing = Listing::Listed;
         instance.entry = Arc::new(entry);
-        instance.room = None;
+        instance.free_capacity = None;
         self.instances.note_listed(instance_no);
         self.update_zone_status(instance_no);
         if shrank {
@@ -176,10 +179,10 @@
     fn add_listed_instance(&mut self, entry: WorkerEntry) {
         // No other owner has leased on a worker that is new to the list, or the worker's record
         // would say so.
-        let fell_of_late = self.has_lost_worker_at(&entry.address);
+        let crashed_recently = self.has_lost_worker_at(&entry.address);
         let instance_no = self.insert_instance(entry, self.now);
         if let Some(instance) = self.instances.get_mut(instance_no) {
-            instance.fell_of_late = fell_of_late;
+            instance.crashed_recently = crashed_recently;
         }
         self.pending.add_instance(instance_no);
         self.log_worker_state(instance_no, "listed");
@@ -187,11 +190,15 @@
         self.send_poll_if_due(instance_no);
     }
 
-    pub(super) fn insert_instance(&mut self, entry: WorkerEntry, lapses_at: Time) -> InstanceNo {
+    pub(super) fn insert_instance(
+        &mut self,
+        entry: WorkerEntry,
+        leases_expire_by: Time,
+    ) -> InstanceNo {
         let lost_token = self.lost_worker_token(&entry.id);
         let token = lost_token.map_or(self.initial_token(), |token| token + 1);
         let instance_no =
-            self.instances.push(WorkerInstance::new(entry, token, lapses_at, self.now));
+            self.instances.push(WorkerInstance::new(entry, token, leases_expire_by, self.now));
         self.update_zone_status(instance_no);
         instance_no
     }
--- a/crates/kitetrail-core/tests/fleet/mod.rs
+++ b/crates/kitetrail-core/tests/fleet/mod.rs
@@ -422,7 +422,7 @@
         if self.replaced_instances.contains(id) {
             self.polls_to_replaced_instances.push((instance, poll, now));
         }
-        self.check_acknowledged_are_stored(id, poll.ends_kept);
+        self.check_acknowledged_are_stored(id, poll.acknowledged_end);
         if let Some(worker) = self.workers.get_mut(id) {
             worker.earlier_polls.extend(worker.open_poll.replace((instance, poll, now)));
         }
--- a/crates/kitetrail-core/tests/fleet/worker.rs
+++ b/crates/kitetrail-core/tests/fleet/worker.rs
@@ -327,7 +327,7 @@
         if let Some(until_ms) = poll.lease_until_ms {
             self.lease(now, until_ms);
         }
-        self.acknowledge_ends(poll.ends_kept);
+        self.acknowledge_ends(poll.acknowledged_end);
         if self.ended.is_empty() && waited < Duration::from_millis(poll.wait_ms.into()) {
             return None;
         }
--- a/crates/kitetraild/src/fleet/log_entries.rs
+++ b/crates/kitetraild/src/fleet/log_entries.rs
@@ -14,9 +14,9 @@
             objective_ms = *objective_ms;
             "job: ended"
         ),
-        LogEntry::Placed { task, run, worker, free, heard_ago_ms } => log::info!(
+        LogEntry::Placed { task, run, worker, free, last_answer_age_ms } => log::info!(
             job = task.job.to_string(), task = task_path(task), run = *run, worker = worker.as_str(),
-            free = free.to_string(), heard_ago_ms:? = *heard_ago_ms;
+            free = free.to_string(), heard_ago_ms:? = *last_answer_age_ms;
             "run: placed"
         ),
         LogEntry::RunEnded { task, run, worker, how } => log::info!(
@@ -62,8 +62,8 @@
             answer:? = *answer;
             "order: not done"
         ),
-        LogEntry::Worker { worker, belief, heard_ago_ms } => log::info!(
-            worker = worker.as_str(), belief = *belief, heard_ago_ms:? = *heard_ago_ms;
+        LogEntry::Worker { worker, belief, last_answer_age_ms } => log::info!(
+            worker = worker.as_str(), belief = *belief, heard_ago_ms:? = *last_answer_age_ms;
             "worker: state changed"
         ),
         LogEntry::WaitsForZone { job, step } => log::warn!(
