--- a/crates/kitetrail-core/examples/owner_cost.rs
+++ b/crates/kitetrail-core/examples/owner_cost.rs
@@ -98,8 +98,9 @@
     fn new(workers: u32, builds: f64) -> Self {
         let mut world = World::with_workers((0..workers).map(worker));
         world.tail_ms = |worker| {
-            let fills = worker.running.values().filter(|run| !run.serves);
-            let used = fills.map(|run| run.cpu_millis * u32::from(run.percent) / 100).sum::<u32>();
+            let best_effort = worker.running.values().filter(|run| !run.is_serving);
+            let used =
+                best_effort.map(|run| run.cpu_millis * u32::from(run.percent) / 100).sum::<u32>();
             12 + 20 * used / worker.entry.capacity.cpu_millis.0
         };
         let mut load = Self {
@@ -161,7 +162,7 @@
             size: Resources::new(cpu_millis, 3_200, 0),
             estimate_ms: self.random.random_range(1_400..4_000),
             keeps_progress: true,
-            fills: true,
+            best_effort: true,
             image: Some(format!("build-{}", self.random.random_range(0..BUILD_IMAGES))),
             ..StepSpec::default()
         }
@@ -173,10 +174,10 @@
             count: self.random.random_range(15..34),
             size: Resources::new(cpu_millis, 6_400, 0),
             estimate_ms: 400,
-            lasts: true,
+            long_running: true,
             image: Some(format!("watch-{}", self.random.random_range(0..WATCH_IMAGES))),
             tail_target_ms: Some(50),
-            may_miss: Some(1),
+            max_unavailable: Some(1),
             ..StepSpec::default()
         }
     }
--- a/crates/kitetrail-core/src/jobs/crashes.rs
+++ b/crates/kitetrail-core/src/jobs/crashes.rs
@@ -38,40 +38,40 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashEvidence {
     /// The worker stopped answering right after the task had started on it.
-    FellAtOnce,
+    Immediate,
     /// The same, but other workers crashed at that moment too.
-    OthersFell,
+    WithOthers,
     /// The task is not known to have run there for long.
     JustStarted,
     /// The start of the task was not confirmed: the worker may have crashed before it.
     Unconfirmed,
     /// The task had run there for a while, and no other task had just been started.
-    RanThere,
+    AfterLongRun,
 }
 
 impl CrashEvidence {
     /// Returns the value in log lines and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::FellAtOnce => "fell-at-once",
-            Self::OthersFell => "others-fell",
+            Self::Immediate => "fell-at-once",
+            Self::WithOthers => "others-fell",
             Self::JustStarted => "just-started",
             Self::Unconfirmed => "unconfirmed",
-            Self::RanThere => "ran-there",
+            Self::AfterLongRun => "ran-there",
         }
     }
 }
 
 /// The bounds of the time that a run had run for when its worker crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RanFor {
+pub struct RunTimeBounds {
     /// The lower bound, in milliseconds.
     pub least_ms: u64,
     /// The upper bound, in milliseconds.
     pub most_ms: u64,
 }
 
-impl RanFor {
+impl RunTimeBounds {
     /// The bounds for a run of which only the stored start is known.
     pub const UNKNOWN: Self = Self { least_ms: 0, most_ms: UNKNOWN_RUN_TIME_MS };
 
@@ -84,7 +84,7 @@
 
 /// A run whose start was stored before it was ordered.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BegunRun {
+pub struct PersistedStart {
     /// The number of the run.
     pub run: u32,
     /// The worker that was to run it.
@@ -94,7 +94,7 @@
     pub incarnation: Option<Incarnation>,
 }
 
-impl BegunRun {
+impl PersistedStart {
     /// Creates the entry of a run that is about to be started on a worker instance.
     pub fn new(run: u32, InstanceKey { id, incarnation }: InstanceKey) -> Self {
         Self { run, worker: id, incarnation }
@@ -129,11 +129,11 @@
     pub may_miss_some: bool,
     /// The run time of the last of these runs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub ran: Option<RanFor>,
+    pub ran: Option<RunTimeBounds>,
     /// The run that may crash its worker next. A new owner that finds this entry and the worker
     /// crashed counts the crash.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub begun: Option<BegunRun>,
+    pub begun: Option<PersistedStart>,
 }
 
 impl TaskCrashes {
@@ -154,7 +154,7 @@
 
     /// Returns whether the task counts as the cause of the crashes, so that it is not started
     /// again.
-    pub fn is_given_up(&self) -> bool {
+    pub fn is_blamed(&self) -> bool {
         let max_weight =
             if self.may_miss_some { WEIGHT_LIMIT_AFTER_OWNER_LOSS } else { WEIGHT_LIMIT };
         self.weight >= max_weight
@@ -168,21 +168,26 @@
 
     /// Counts a crash. If the run time differs from that of the crashes before, the count
     /// restarts.
-    pub fn note(&mut self, instance: &InstanceKey, evidence: CrashEvidence, ran: Option<RanFor>) {
-        let differs = |(last, ran): (RanFor, RanFor)| !last.is_similar(ran);
+    pub fn record_crash(
+        &mut self,
+        instance: &InstanceKey,
+        evidence: CrashEvidence,
+        ran: Option<RunTimeBounds>,
+    ) {
+        let differs = |(last, ran): (RunTimeBounds, RunTimeBounds)| !last.is_similar(ran);
         if self.ran.zip(ran).is_some_and(differs) {
             self.clear();
         }
         // A stored start may belong to a later run on another worker: that entry stays.
         self.begun.take_if(|begun| begun.instance() == *instance);
         self.workers.push(instance.id.clone());
-        self.ran = ran.or(self.ran).or(Some(RanFor::UNKNOWN));
-        self.fell_at_once |= evidence == CrashEvidence::FellAtOnce;
+        self.ran = ran.or(self.ran).or(Some(RunTimeBounds::UNKNOWN));
+        self.fell_at_once |= evidence == CrashEvidence::Immediate;
         self.weight += match evidence {
-            CrashEvidence::FellAtOnce => IMMEDIATE_CRASH_WEIGHT,
-            CrashEvidence::OthersFell | CrashEvidence::JustStarted | CrashEvidence::RanThere => {
-                CRASH_WEIGHT
-            }
+            CrashEvidence::Immediate => IMMEDIATE_CRASH_WEIGHT,
+            CrashEvidence::WithOthers
+            | CrashEvidence::JustStarted
+            | CrashEvidence::AfterLongRun => CRASH_WEIGHT,
             CrashEvidence::Unconfirmed => UNCONFIRMED_START_WEIGHT,
         };
     }
--- a/crates/kitetrail-core/src/jobs/instance.rs
+++ b/crates/kitetrail-core/src/jobs/instance.rs
@@ -323,18 +323,18 @@
         &self.runs
     }
 
-    pub(super) fn serves(&self) -> bool {
-        self.runs.values().any(PlacedRun::serves)
+    pub(super) fn has_serving(&self) -> bool {
+        self.runs.values().any(PlacedRun::is_serving)
     }
 
-    pub(super) fn fills(&self) -> bool {
-        self.runs.values().any(|run| run.fills)
+    pub(super) fn has_best_effort(&self) -> bool {
+        self.runs.values().any(|run| run.is_best_effort)
     }
 
     /// Returns whether a tail latency was above its target in the last report, with a best-effort
     /// run beside it.
     pub(super) fn exceeds_tail_target(&self) -> bool {
-        self.fills() && self.runs.values().any(|run| run.over_since.is_some())
+        self.has_best_effort() && self.runs.values().any(|run| run.above_target_since.is_some())
     }
 
     /// Returns the worker's clock at the scheduler's time `now`, in milliseconds; `None` before its
@@ -427,9 +427,9 @@
     pub(super) fn was_sent(&self, task: TaskName, run: &PlacedRun) -> bool {
         let waits = |order: &Order| matches!(order, Order::Start(start) if start.task == task);
         match run.phase {
-            Phase::Unkept => false,
+            Phase::Unpersisted => false,
             Phase::Ordered => !self.orders.iter().any(waits),
-            Phase::Doubtful { .. } | Phase::Running(_) => true,
+            Phase::StartUnanswered { .. } | Phase::Running(_) => true,
         }
     }
 
--- a/crates/kitetrail-core/src/jobs/job.rs
+++ b/crates/kitetrail-core/src/jobs/job.rs
@@ -7,7 +7,7 @@
 };
 
 use super::{
-    crashes::BegunRun,
+    crashes::PersistedStart,
     event::{JobState, RequestNo},
     names::{JobId, StepName, TaskName},
     record::{JobRecord, OccurrenceProgress, Outcome, ProgressRecord},
@@ -37,11 +37,11 @@
     pub(super) outcome: Outcome,
     pub(super) ended_unix_ms: Option<u64>,
     /// Whether the job is durable.
-    pub(super) kept: bool,
-    pub(super) begun: bool,
+    pub(super) is_persisted: bool,
+    pub(super) has_started: bool,
     /// Whether some of its tasks may wait for a worker. Most jobs have none most of the time, and
     /// placement skips these jobs.
-    pub(super) may_wait: bool,
+    pub(super) may_have_waiting_tasks: bool,
     /// The first occurrence that is not done. The occurrences before it are removed.
     done_before: u32,
     pub(super) occurrences: BTreeMap<u32, Occurrence>,
@@ -71,9 +71,9 @@
             accepted_at: now,
             outcome: Outcome::Open,
             ended_unix_ms: None,
-            kept: false,
-            begun: false,
-            may_wait: true,
+            is_persisted: false,
+            has_started: false,
+            may_have_waiting_tasks: true,
             done_before: 0,
             occurrences: BTreeMap::new(),
             due_at: now,
@@ -101,7 +101,7 @@
         let mut job = Self::new(id, queue, spec, now, accepted_unix_ms);
         job.accepted_at = now - age;
         job.due_at = job.accepted_at + Duration::from_millis(job.objective_ms());
-        job.kept = true;
+        job.is_persisted = true;
         job.inherited = true;
         if let Some(progress) = progress {
             job.restore_progress(progress);
@@ -109,7 +109,7 @@
         for step in job.occurrences.values_mut().flat_map(|occurrence| &mut occurrence.steps) {
             for task in &mut step.tasks {
                 task.last_run = task.last_run.max(run_floor);
-                task.unaccounted = !task.done;
+                task.maybe_started_before = !task.done;
             }
         }
         job
@@ -123,7 +123,7 @@
 
     /// Returns the state shown to callers until the end of the job is durable.
     pub(super) fn state(&self) -> JobState {
-        if self.begun { JobState::Running } else { JobState::Queued }
+        if self.has_started { JobState::Running } else { JobState::Queued }
     }
 
     /// Returns the estimated critical path of the steps that are not done, in milliseconds.
@@ -139,13 +139,13 @@
     /// Returns whether the job ends in time by its caller's estimates if the remaining steps start
     /// now.
     pub(super) fn can_be_in_time(&self, now: Time) -> bool {
-        let no_deadline = self.lasts() || self.spec.schedule.is_some();
+        let no_deadline = self.is_long_running() || self.spec.schedule.is_some();
         no_deadline || now + Duration::from_millis(self.remaining_critical_path_ms()) <= self.due_at
     }
 
     /// Returns whether some of its tasks run until the job is cancelled.
-    pub(super) fn lasts(&self) -> bool {
-        self.spec.steps.iter().any(|step| step.lasts)
+    pub(super) fn is_long_running(&self) -> bool {
+        self.spec.steps.iter().any(|step| step.long_running)
     }
 
     pub(super) fn is_open(&self) -> bool {
@@ -176,7 +176,7 @@
     /// Returns the steps whose dependencies are done and that have tasks waiting for a worker.
     pub(super) fn due_steps(&mut self, now: Time) -> Vec<StepName> {
         let mut due = Vec::new();
-        self.may_wait = false;
+        self.may_have_waiting_tasks = false;
         for (&number, occurrence) in &self.occurrences {
             for (index, spec) in (0_u32..).zip(&self.spec.steps) {
                 let step = &occurrence.steps[index as usize];
@@ -185,7 +185,7 @@
                 }
                 // A task that has just failed waits for its retry delay, so the step may not be due
                 // yet.
-                self.may_wait = true;
+                self.may_have_waiting_tasks = true;
                 if step.tasks.iter().any(|task| task.waits(now)) {
                     due.push(StepName { job: self.id, occurrence: number, step: index });
                 }
@@ -225,7 +225,7 @@
 
     /// Returns the tasks that an earlier owner was about to start, with the run and worker that it
     /// stored.
-    pub(super) fn begun_tasks(&self) -> Vec<(TaskName, BegunRun)> {
+    pub(super) fn begun_tasks(&self) -> Vec<(TaskName, PersistedStart)> {
         let mut begun = Vec::new();
         for (&occurrence, state) in &self.occurrences {
             for (step, tasks) in (0_u32..).zip(&state.steps) {
@@ -241,7 +241,7 @@
     pub(super) fn begin(&mut self, occurrence: u32) {
         if !self.occurrences.contains_key(&occurrence) {
             self.occurrences.insert(occurrence, Occurrence::new(&self.spec));
-            self.may_wait = true;
+            self.may_have_waiting_tasks = true;
         }
     }
 
@@ -260,7 +260,7 @@
     }
 
     /// Removes the occurrences that are done, up to the first one that is not.
-    pub(super) fn forget_done_occurrences(&mut self) {
+    pub(super) fn remove_done_occurrences(&mut self) {
         while let Some(first) = self.occurrences.first_entry()
             && *first.key() == self.done_before
             && first.get().is_done()
@@ -300,7 +300,7 @@
 
     fn restore_progress(&mut self, progress: ProgressRecord) {
         self.done_before = progress.done_before;
-        self.begun |= self.done_before > 0;
+        self.has_started |= self.done_before > 0;
         self.occurrences.retain(|&number, _| number >= progress.done_before);
         for (number, occurrence) in progress.occurrences {
             self.begin(number);
@@ -310,8 +310,8 @@
 
     fn restore_occurrence(&mut self, number: u32, progress: &OccurrenceProgress) {
         let Some(occurrence) = self.occurrences.get_mut(&number) else { return };
-        for (step, kept) in occurrence.steps.iter_mut().zip(&progress.steps) {
-            self.begun |= step.restore(kept);
+        for (step, stored) in occurrence.steps.iter_mut().zip(&progress.steps) {
+            self.has_started |= step.restore(stored);
         }
     }
 }
--- a/crates/kitetrail-core/src/jobs/log_entry.rs
+++ b/crates/kitetrail-core/src/jobs/log_entry.rs
@@ -192,7 +192,7 @@
         lag_ms: u64,
     },
     /// The data that is not durable yet.
-    Unkept {
+    Unpersisted {
         /// The number of records that wait for a batch.
         records: u64,
         /// The number of run ends that are not acknowledged to their workers, which report them
--- a/crates/kitetrail-core/src/jobs/mod.rs
+++ b/crates/kitetrail-core/src/jobs/mod.rs
@@ -22,7 +22,7 @@
 mod steps;
 mod worker_entry;
 
-pub use crashes::{BegunRun, CrashEvidence, RanFor, TaskCrashes};
+pub use crashes::{CrashEvidence, PersistedStart, RunTimeBounds, TaskCrashes};
 pub use event::{Action, CancelAnswer, Discovery, Event, JobState, RequestNo, SubmitAnswer};
 pub use instance::InstanceNo;
 pub use log_entry::LogEntry;
--- a/crates/kitetrail-core/src/jobs/run.rs
+++ b/crates/kitetrail-core/src/jobs/run.rs
@@ -18,13 +18,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
     /// The order is held back until the intent to send it is stored.
-    Unkept,
+    Unpersisted,
     /// The order is queued or was sent.
     Ordered,
     /// The order was not answered: the run may have started, or may still start.
-    Doubtful {
+    StartUnanswered {
         /// A report for this fencing token or a higher one shows for certain whether it runs.
-        settled_by: u64,
+        settling_token: u64,
     },
     /// The run was confirmed at this time.
     Running(Time),
@@ -54,17 +54,17 @@
     pub(super) phase: Phase,
     pub(super) size: Resources,
     /// Whether the run is best-effort: it uses the processor time that other runs leave.
-    pub(super) fills: bool,
+    pub(super) is_best_effort: bool,
     /// Whether the run is ordered to stop.
     pub(super) stopping: bool,
     /// Whether an earlier owner started the run, so that it began before its confirmation here.
-    pub(super) adopted: bool,
+    pub(super) started_by_predecessor: bool,
     /// Whether workers crashed while they ran this task.
     pub(super) suspected: bool,
     /// Whether no other run is started on the worker.
     pub(super) alone: bool,
     pub(super) keeps_progress: bool,
-    pub(super) lasts: bool,
+    pub(super) is_long_running: bool,
     /// The target of the tail latency, if the run is latency-critical.
     pub(super) tail_target_ms: Option<u64>,
     pub(super) image: ImageNo,
@@ -81,7 +81,7 @@
     /// The time at which its gauge was last used for learning.
     pub(super) learned_at: Option<Time>,
     /// The time since which every report has shown the tail latency above its target.
-    pub(super) over_since: Option<Time>,
+    pub(super) above_target_since: Option<Time>,
 }
 
 impl PlacedRun {
@@ -91,13 +91,13 @@
             run,
             phase: Phase::Ordered,
             size: spec.size,
-            fills: spec.fills,
+            is_best_effort: spec.best_effort,
             stopping: false,
-            adopted: false,
+            started_by_predecessor: false,
             suspected: false,
             alone: false,
             keeps_progress: spec.keeps_progress,
-            lasts: spec.lasts,
+            is_long_running: spec.long_running,
             tail_target_ms: spec.tail_target_ms,
             image,
             percent: 0,
@@ -106,12 +106,12 @@
             paced_percent: FULL_PACE_PERCENT,
             own_stress: Estimate::own(),
             learned_at: None,
-            over_since: None,
+            above_target_since: None,
         }
     }
 
     /// Returns whether the run is latency-critical.
-    pub(super) fn serves(&self) -> bool {
+    pub(super) fn is_serving(&self) -> bool {
         self.tail_target_ms.is_some()
     }
 
@@ -120,8 +120,8 @@
     }
 
     /// Returns whether the run was ready in the worker's last report and is not ordered to stop.
-    pub(super) fn is_at_work(&self) -> bool {
-        let ready = !self.lasts || self.percent >= READY_PERCENT;
+    pub(super) fn reports_ready(&self) -> bool {
+        let ready = !self.is_long_running || self.percent >= READY_PERCENT;
         self.is_running() && !self.stopping && ready
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/backlog.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/backlog.rs
@@ -85,7 +85,7 @@
         if self.pending.is_empty() && self.pending.unpersisted_ends() == 0 {
             return;
         }
-        self.out.push(Action::Log(LogEntry::Unkept {
+        self.out.push(Action::Log(LogEntry::Unpersisted {
             records: self.pending.len() as u64,
             ends: self.pending.unpersisted_ends() as u64,
             batch_sent_ago_ms: self.pending.sent_ago(self.now).map(|ago| ago.as_millis() as u64),
@@ -95,7 +95,7 @@
     fn waiting_by_kind(&self) -> [Waiting; WorkKind::ALL.len()] {
         let mut waiting = [Waiting::default(); WorkKind::ALL.len()];
         let jobs = self.open.iter().filter_map(|(_, _, id)| self.jobs.get(id));
-        for job in jobs.filter(|job| job.may_wait) {
+        for job in jobs.filter(|job| job.may_have_waiting_tasks) {
             let (in_time, age) = (job.can_be_in_time(self.now), self.now.since(job.accepted_at));
             for (spec, tasks) in unplaced_steps(job) {
                 let kind = &mut waiting[spec.kind() as usize];
--- a/crates/kitetrail-core/src/jobs/scheduler/commit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/commit.rs
@@ -74,7 +74,7 @@
 
     fn mark_job_persisted(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.kept = true;
+        job.is_persisted = true;
         let waiters = mem::take(&mut job.submit_waiters);
         let answer = |request| Action::AnswerSubmit(request, SubmitAnswer::Accepted);
         self.out.extend(waiters.into_iter().map(answer));
@@ -93,9 +93,9 @@
     }
 
     fn send_batch(&mut self) {
-        let kept_bytes = |id: JobId| self.jobs.get(&id).map_or(0, |job| job.spec.kept_bytes());
+        let stored_bytes = |id: JobId| self.jobs.get(&id).map_or(0, |job| job.spec.stored_bytes());
         let has_ended = |id: JobId| self.jobs.get(&id).is_some_and(|job| !job.is_open());
-        let taken = self.pending.take_batch(kept_bytes, has_ended);
+        let taken = self.pending.take_batch(stored_bytes, has_ended);
         self.mark_instances_sent(&taken.instances);
         let mut records = self.records(&taken);
         if self.now.since(self.pending.effects_at) >= EFFECTS_PERSIST_INTERVAL {
@@ -131,7 +131,8 @@
         // For a job that has already ended, only its progress is persisted.
         let new_jobs = taken.new_jobs.iter().filter_map(job).filter(|job| job.is_open());
         let progress = taken.progress.iter().filter_map(job);
-        let dropped = progress.clone().filter(|job| job.kept && !job.is_open()).map(|job| job.id);
+        let dropped =
+            progress.clone().filter(|job| job.is_persisted && !job.is_open()).map(|job| job.id);
         let mut records = Vec::new();
         records.extend(new_jobs.map(Job::record).map(Record::Job));
         records.extend(taken.instances.iter().filter_map(used));
--- a/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
@@ -9,7 +9,7 @@
 
 use super::{
     super::{
-        crashes::{CrashEvidence, RanFor},
+        crashes::{CrashEvidence, RunTimeBounds},
         event::Action,
         instance::{InstanceEnd, InstanceNo, Listing, WorkerInstance},
         log_entry::LogEntry,
@@ -48,13 +48,13 @@
     task: TaskName,
     evidence: CrashEvidence,
     /// The duration of the run; unknown if an earlier owner started it.
-    ran: Option<RanFor>,
+    ran: Option<RunTimeBounds>,
 }
 
 impl Suspect {
     /// Creates a suspect for a task that an earlier owner recorded as about to start on the worker.
     pub(super) fn from_recorded_start(task: TaskName) -> Self {
-        Self { task, evidence: CrashEvidence::FellAtOnce, ran: None }
+        Self { task, evidence: CrashEvidence::Immediate, ran: None }
     }
 }
 
@@ -87,10 +87,11 @@
             && !matches!(instance.listing, Listing::Removed { .. })
             && !instance.zone_evacuated
             && !with_others;
-        suspects.retain(|suspect| implicates_all || suspect.evidence != CrashEvidence::RanThere);
+        suspects
+            .retain(|suspect| implicates_all || suspect.evidence != CrashEvidence::AfterLongRun);
         for suspect in &mut suspects {
-            if with_others && suspect.evidence == CrashEvidence::FellAtOnce {
-                suspect.evidence = CrashEvidence::OthersFell;
+            if with_others && suspect.evidence == CrashEvidence::Immediate {
+                suspect.evidence = CrashEvidence::WithOthers;
             }
         }
         suspects
@@ -109,14 +110,14 @@
         let suspects = recorded.chain(suspects_among(instance, self.now)).collect::<Vec<_>>();
         let is_watched = |suspect: &Suspect| {
             let job = self.jobs.get(&suspect.task.job);
-            job.and_then(|job| job.task(suspect.task)).is_some_and(|task| task.watched)
+            job.and_then(|job| job.task(suspect.task)).is_some_and(|task| task.persists_starts)
         };
-        let (watched, others) = suspects.into_iter().partition::<Vec<_>, _>(is_watched);
+        let (persists_starts, others) = suspects.into_iter().partition::<Vec<_>, _>(is_watched);
         if let Some(instance) = self.instances.get_mut(instance_no) {
             instance.suspects.extend(others);
         }
         self.drop_all_runs(instance_no, "its worker is silent and its lease has expired");
-        self.record_crash(&worker, watched);
+        self.record_crash(&worker, persists_starts);
     }
 
     /// Counts a crash against the tasks that may have caused it. Must be called after the runs of
@@ -132,13 +133,13 @@
         let name = suspect.task;
         let Some(job) = self.jobs.get_mut(&name.job).filter(|job| job.is_open()) else { return };
         let Some(task) = job.task_mut(name).filter(|task| !task.done) else { return };
-        task.crashes.note(worker, suspect.evidence, suspect.ran);
-        task.watched = true;
+        task.crashes.record_crash(worker, suspect.evidence, suspect.ran);
+        task.persists_starts = true;
         let crashes = task.crashes.workers.len() as u32;
         if task.crashes.runs_alone() {
             task.not_before = Some(now + CRASH_BACKOFF * 2_u32.pow(crashes - 1));
         }
-        let is_given_up = task.crashes.is_given_up();
+        let is_blamed = task.crashes.is_blamed();
         if task.crashes.drops_checkpoint() {
             job.drop_checkpoint(name);
         }
@@ -149,7 +150,7 @@
             crashes,
         }));
         self.pending.note(name.job);
-        if is_given_up {
+        if is_blamed {
             self.fail_crashing_job(name);
         }
     }
@@ -237,10 +238,10 @@
     let suspect = |(&task, run): (&TaskName, &PlacedRun)| {
         let ran = run_duration_bounds(instance, run, now);
         let evidence = match any_started {
-            false => CrashEvidence::RanThere,
+            false => CrashEvidence::AfterLongRun,
             true if !run.is_running() => CrashEvidence::Unconfirmed,
             true if u128::from(ran.most_ms) <= IMMEDIATE_CRASH_WINDOW.as_millis() => {
-                CrashEvidence::FellAtOnce
+                CrashEvidence::Immediate
             }
             true => CrashEvidence::JustStarted,
         };
@@ -251,13 +252,14 @@
 
 /// Returns whether a run may have started just before its worker fell silent.
 fn is_recently_started(instance: &WorkerInstance, run: &PlacedRun) -> bool {
-    !run.adopted && instance.confirmed_run_time(run).is_none_or(|ran| ran < RECENT_START_WINDOW)
+    !run.started_by_predecessor
+        && instance.confirmed_run_time(run).is_none_or(|ran| ran < RECENT_START_WINDOW)
 }
 
 /// Returns how long a run had lasted when its worker fell silent.
-fn run_duration_bounds(instance: &WorkerInstance, run: &PlacedRun, now: Time) -> RanFor {
-    let Phase::Running(since) = run.phase else { return RanFor::UNKNOWN };
+fn run_duration_bounds(instance: &WorkerInstance, run: &PlacedRun, now: Time) -> RunTimeBounds {
+    let Phase::Running(since) = run.phase else { return RunTimeBounds::UNKNOWN };
     let least_ran = instance.confirmed_run_time(run).unwrap_or_default();
     let most_ran = instance.unanswered_since.unwrap_or(now).since(since).max(least_ran);
-    RanFor { least_ms: least_ran.as_millis() as u64, most_ms: most_ran.as_millis() as u64 }
+    RunTimeBounds { least_ms: least_ran.as_millis() as u64, most_ms: most_ran.as_millis() as u64 }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/ends.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/ends.rs
@@ -33,7 +33,7 @@
         let ended = instance.remove_run(end.task, end.run);
         let done = ended.as_ref().filter(|_| end.how == HowEnded::Done);
         let run_duration_ms = done.and_then(|run| run_duration_ms(run, now));
-        if let Some(run) = ended.filter(|run| run.fills) {
+        if let Some(run) = ended.filter(|run| run.is_best_effort) {
             let cpu_millis = run.gauge.unwrap_or(run.size.cpu_millis.0);
             instance.just_ended.push(JustEnded { image: run.image, cpu_millis, at: now });
         }
@@ -88,7 +88,7 @@
     fn update_checkpoint(&mut self, end: &RunEnd) {
         let Some(task) = self.task_mut(end.task) else { return };
         task.last_run = task.last_run.max(end.run);
-        task.unaccounted = false;
+        task.maybe_started_before = false;
         if end.checkpoint.is_some() {
             task.checkpoint.clone_from(&end.checkpoint);
         }
@@ -98,8 +98,8 @@
         let Some(run_duration_ms) = run_duration_ms else { return };
         let job = self.jobs.get_mut(&name.job);
         if let Some(step) = job.and_then(|job| job.step_mut(name.step_name())) {
-            step.timed += 1;
-            step.timed_ms += run_duration_ms;
+            step.completed_runs += 1;
+            step.completed_runs_ms += run_duration_ms;
         }
     }
 
@@ -111,16 +111,16 @@
         let Some(job) = self.jobs.get_mut(&name.job).filter(|job| job.is_open()) else { return };
         let Some(spec) = job.step_spec(name.step) else { return };
         let gang = spec.gang;
-        if spec.lasts {
+        if spec.long_running {
             // The task was to run until its job is cancelled, so it waits for a worker again.
             return;
         }
         let Some(step) = job.step_mut(name.step_name()) else { return };
         let copies = step.mark_done(name, gang);
         // Steps that depend on this one may now be ready.
-        job.may_wait = true;
+        job.may_have_waiting_tasks = true;
         let all_done = job.all_done();
-        job.forget_done_occurrences();
+        job.remove_done_occurrences();
         self.pending.note(name.job);
         // Other members of a gang end on their own; speculative copies of a task must be stopped.
         for placed in copies.into_iter().filter(|_| !gang) {
@@ -137,17 +137,18 @@
         self.record_run_failure(instance_no);
         let Some(job) = self.jobs.get_mut(&name.job).filter(|job| job.is_open()) else { return };
         let Some(spec) = job.step_spec(name.step) else { return };
-        let (gang, lasts, max_attempts) = (spec.gang, spec.lasts, job.queue.max_attempts);
+        let (gang, long_running, max_attempts) =
+            (spec.gang, spec.long_running, job.queue.max_attempts);
         let Some(task) = job.task_mut(name).filter(|task| !task.done) else { return };
-        if !lasts {
+        if !long_running {
             task.failed_runs.insert(end.run);
         }
-        task.avoid = Some(instance_no);
+        task.avoided_instance = Some(instance_no);
         let failed = task.failed_runs.len() as u32;
         task.not_before = Some(now + RETRY_BACKOFF * failed.max(1));
         let failed = if gang { job.failed_runs_of_gang(name.step_name()) } else { failed };
         self.pending.note(name.job);
-        if !lasts && failed >= max_attempts.max(1) {
+        if !long_running && failed >= max_attempts.max(1) {
             self.end_job(name.job, Outcome::Failed);
         }
     }
@@ -157,7 +158,7 @@
 /// whole task: the run resumed from a checkpoint or was throttled.
 fn run_duration_ms(run: &PlacedRun, now: Time) -> Option<u64> {
     let Phase::Running(since) = run.phase else { return None };
-    let paced = run.fills && run.paced_percent < FULL_PACE_PERCENT;
+    let paced = run.is_best_effort && run.paced_percent < FULL_PACE_PERCENT;
     let is_representative = run.progress.from_percent == 0 && !paced;
     is_representative.then(|| now.since(since).as_millis() as u64)
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
@@ -167,8 +167,8 @@
     /// Returns whether a task may be interrupted for a move. Tasks of a long-running step move one
     /// at a time, even if the step tolerates more missing tasks.
     fn may_interrupt(&self, name: TaskName, spec: &StepSpec) -> bool {
-        match spec.lasts {
-            true => spec.may_miss != Some(0) && self.all_tasks_working(name.step_name()),
+        match spec.long_running {
+            true => spec.max_unavailable != Some(0) && self.all_tasks_working(name.step_name()),
             false => true,
         }
     }
@@ -186,7 +186,7 @@
                     .filter(|instance| instance.unanswered_polls == 0);
                 instance
                     .and_then(|instance| instance.runs().get(&step.task(index)))
-                    .is_some_and(PlacedRun::is_at_work)
+                    .is_some_and(PlacedRun::reports_ready)
             })
         })
     }
@@ -223,7 +223,7 @@
 fn must_move(run: &PlacedRun, now: Time) -> bool {
     let is_active = !run.stopping && run.is_running();
     let is_long = left_ms(run, now).is_some_and(|left_ms| left_ms > MIN_REMAINING_TO_MOVE_MS);
-    is_active && (run.lasts || (run.keeps_progress && is_long))
+    is_active && (run.is_long_running || (run.keeps_progress && is_long))
 }
 
 /// Returns whether a worker could run a task if it ran nothing else.
--- a/crates/kitetrail-core/src/jobs/scheduler/fit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/fit.rs
@@ -64,7 +64,7 @@
     /// The rack of these workers.
     pub(super) rack: Option<&'a str>,
     /// The worker on which the task failed or was slow.
-    pub(super) avoid: Option<InstanceNo>,
+    pub(super) avoided_instance: Option<InstanceNo>,
     pub(super) now: Time,
     /// Whether the task is suspected of crashing workers and must run alone.
     pub(super) runs_alone: bool,
@@ -90,7 +90,7 @@
             return None;
         }
         let interference = self.interference(instance, free_capacity)?;
-        let fullness = match (spec.fills, spec.lasts) {
+        let fullness = match (spec.best_effort, spec.long_running) {
             (true, _) => 1.0 - free_capacity.best_effort_share,
             // Long-running tasks are packed, so that room for large tasks is not fragmented. So are
             // short tasks of which few fit on a worker. Other short tasks are spread, so that every
@@ -104,7 +104,8 @@
         let splits_gang =
             spec.same_rack && self.rack.is_some_and(|rack| rack != instance.entry.rack);
         let remote_cost = if is_far || splits_gang { REMOTE_WEIGHT } else { 0.0 };
-        let failed_run_cost = if self.avoid == Some(instance_no) { FAILED_RUN_WEIGHT } else { 0.0 };
+        let failed_run_cost =
+            if self.avoided_instance == Some(instance_no) { FAILED_RUN_WEIGHT } else { 0.0 };
         let suspect_cost = if self.runs_alone { crash_cost(instance, self.now) } else { 0.0 };
         Some(
             FULLNESS_WEIGHT * fullness
@@ -120,7 +121,7 @@
     fn interference(&self, instance: &WorkerInstance, free_capacity: &FreeCapacity) -> Option<f64> {
         let spec = self.spec;
         let load = f64::from(spec.size.cpu_millis.0) / capacity_millis(instance);
-        match (spec.fills, spec.tail_target_ms.is_some()) {
+        match (spec.best_effort, spec.tail_target_ms.is_some()) {
             (true, _) => {
                 let min_pace = if spec.keeps_progress { MIN_PACE } else { MIN_PACE_IMMOVABLE };
                 let headroom = free_capacity.headroom(instance, self.tails);
@@ -180,7 +181,8 @@
         instance.last_answer_at.map_or(Duration::ZERO, |last_answer_at| now.since(last_answer_at));
     let silence_cost = SILENCE_WEIGHT_PER_S * silent_for.as_secs_f64();
     let recent_crash_cost = if instance.crashed_recently { RECENT_CRASH_WEIGHT } else { 0.0 };
-    let weight =
-        |run: &PlacedRun| if run.lasts { LOST_LONG_RUNNING_WEIGHT } else { LOST_RUN_WEIGHT };
+    let weight = |run: &PlacedRun| {
+        if run.is_long_running { LOST_LONG_RUNNING_WEIGHT } else { LOST_RUN_WEIGHT }
+    };
     recent_crash_cost + silence_cost + instance.runs().values().map(weight).sum::<f64>()
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/free_capacity.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/free_capacity.rs
@@ -52,7 +52,7 @@
     /// A best-effort task reserves no processor time: it is started where enough is left.
     pub(super) fn fits(&self, spec: &StepSpec) -> bool {
         let Resources { cpu_millis, memory_mb, accelerators } = spec.size;
-        match spec.fills {
+        match spec.best_effort {
             true => {
                 memory_mb <= self.free.memory_mb
                     && accelerators <= self.free.accelerators
@@ -119,10 +119,10 @@
         let mut usage = Self::default();
         for run in instance.runs().values() {
             let cpu_millis = run.size.cpu_millis.0;
-            let reserved_millis = if run.fills { 0 } else { cpu_millis };
+            let reserved_millis = if run.is_best_effort { 0 } else { cpu_millis };
             usage.best_effort_millis += cpu_millis - reserved_millis;
-            usage.short_tasks += u32::from(!run.fills && !run.lasts);
-            usage.used_millis += if run.fills { 0 } else { used_millis(run) };
+            usage.short_tasks += u32::from(!run.is_best_effort && !run.is_long_running);
+            usage.used_millis += if run.is_best_effort { 0 } else { used_millis(run) };
             let reserved = Resources { cpu_millis: CpuMillis(reserved_millis), ..run.size };
             usage.reserved = usage.reserved.saturating_add(&reserved);
         }
@@ -139,7 +139,7 @@
 /// Returns the processor time that a run uses of its reservation, in thousandths of a core: the own
 /// load of a serving task, and all of it for any other.
 fn used_millis(run: &PlacedRun) -> u32 {
-    let share = if run.serves() { run.own_stress.mean.min(1.0) } else { 1.0 };
+    let share = if run.is_serving() { run.own_stress.mean.min(1.0) } else { 1.0 };
     (f64::from(run.size.cpu_millis.0) * share) as u32
 }
 
@@ -163,7 +163,7 @@
 pub(super) fn loads_by(instance: &WorkerInstance, millis: impl Fn(&PlacedRun) -> f64) -> Vec<Load> {
     let capacity = capacity_millis(instance);
     let mut loads = Vec::<Load>::new();
-    for run in instance.runs().values().filter(|run| run.fills) {
+    for run in instance.runs().values().filter(|run| run.is_best_effort) {
         let load = millis(run) / capacity;
         match loads.iter_mut().find(|(image, _)| *image == run.image) {
             Some((_, sum)) => *sum += load,
--- a/crates/kitetrail-core/src/jobs/scheduler/gauges.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/gauges.rs
@@ -22,7 +22,8 @@
             continue;
         }
         let above_target = u64::from(tail_ms) > target_ms;
-        run.over_since = if above_target { run.over_since.or(Some(now)) } else { None };
+        run.above_target_since =
+            if above_target { run.above_target_since.or(Some(now)) } else { None };
         let gap_s = run.learned_at.map_or(0.0, |time| now.since(time).as_secs_f64());
         run.learned_at = Some(now);
         let tail =
--- a/crates/kitetrail-core/src/jobs/scheduler/headroom.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/headroom.rs
@@ -108,13 +108,13 @@
         let stress = stress_at_target - run.own_stress.mean - added.sum::<f64>();
         Margin { image: run.image, stress, penalty: penalty(stress) }
     };
-    instance.runs().values().filter(|run| run.serves()).map(margin).collect()
+    instance.runs().values().filter(|run| run.is_serving()).map(margin).collect()
 }
 
 fn serving_by_image(instance: &WorkerInstance, tails: &TailModel) -> Vec<ServingTasks> {
     let loads = full_loads(instance);
     let mut serving_by_image = Vec::<ServingTasks>::new();
-    for run in instance.runs().values().filter(|run| run.serves()) {
+    for run in instance.runs().values().filter(|run| run.is_serving()) {
         let target_ms = run.tail_target_ms.unwrap_or(1) as f64;
         let spare_stress =
             tails.stress_at(run.image, target_ms, TARGET_SHARE) - run.own_stress.mean;
--- a/crates/kitetrail-core/src/jobs/scheduler/kept_starts.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/kept_starts.rs
@@ -54,7 +54,7 @@
         for KeptStart { instance: instance_no, order } in starts {
             let instance = self.instances.get_mut(instance_no);
             let run = instance.and_then(|instance| instance.run_mut(order.task, order.run));
-            let Some(run) = run.filter(|run| run.phase == Phase::Unkept) else { continue };
+            let Some(run) = run.filter(|run| run.phase == Phase::Unpersisted) else { continue };
             run.phase = Phase::Ordered;
             self.order(instance_no, Order::Start(order));
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/lateness.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/lateness.rs
@@ -29,7 +29,7 @@
     pub(super) fn of(job: &Job, now: Time) -> Self {
         let target = job.due_at.since(job.accepted_at);
         match now.since(job.accepted_at) {
-            _ if job.lasts() || job.spec.schedule.is_some() => Self::InTime,
+            _ if job.is_long_running() || job.spec.schedule.is_some() => Self::InTime,
             waited if waited <= target => Self::InTime,
             waited if waited <= target * HOPELESS_FACTOR => Self::Late,
             _ => Self::Hopeless,
@@ -64,7 +64,9 @@
 impl PlacementRank {
     pub(super) fn of(job: &Job, now: Time) -> Self {
         match Lateness::of(job, now) {
-            _ if job.lasts() && !job.begun && !job.inherited => Self::NewLongRunning,
+            _ if job.is_long_running() && !job.has_started && !job.inherited => {
+                Self::NewLongRunning
+            }
             Lateness::InTime => Self::InTime,
             Lateness::Late => Self::Late,
             Lateness::Hopeless => Self::Hopeless,
--- a/crates/kitetrail-core/src/jobs/scheduler/mod.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/mod.rs
@@ -216,7 +216,7 @@
             Some(Outcome::Failed) => Some(JobState::Failed),
             Some(Outcome::Cancelled) => Some(JobState::Cancelled),
             Some(Outcome::Open) | None => {
-                self.jobs.get(&job).filter(|job| job.kept).map(Job::state)
+                self.jobs.get(&job).filter(|job| job.is_persisted).map(Job::state)
             }
         }
     }
@@ -232,7 +232,7 @@
     pub fn pending_by_queue(&self) -> BTreeMap<QueueName, u64> {
         let mut counts = BTreeMap::new();
         for job in self.open.iter().filter_map(|(_, _, id)| self.jobs.get(id)) {
-            if job.kept && !job.begun {
+            if job.is_persisted && !job.has_started {
                 *counts.entry(job.queue.name.clone()).or_insert(0) += 1;
             }
         }
@@ -283,7 +283,7 @@
     /// Keeps the next placement of a task off a worker.
     fn avoid(&mut self, name: TaskName, instance_no: InstanceNo) {
         if let Some(task) = self.task_mut(name) {
-            task.avoid = Some(instance_no);
+            task.avoided_instance = Some(instance_no);
         }
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/orders.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/orders.rs
@@ -49,7 +49,8 @@
         if !instance.runs().get(&task).is_some_and(|state| state.run == run && !state.stopping) {
             return;
         }
-        if instance.runs().get(&task).is_some_and(|run_state| run_state.phase == Phase::Unkept) {
+        if instance.runs().get(&task).is_some_and(|run_state| run_state.phase == Phase::Unpersisted)
+        {
             return self.drop_run(instance_no, task, run);
         }
         let waiting = instance.orders.iter().position(|waiting| {
@@ -182,7 +183,7 @@
     /// Removes a run from the placements of its task.
     pub(super) fn remove_placement(&mut self, name: TaskName, placement: Placement) {
         let Some(job) = self.jobs.get_mut(&name.job) else { return };
-        job.may_wait = true;
+        job.may_have_waiting_tasks = true;
         let Some(task) = job.task_mut(name) else { return };
         task.placed.retain(|placed| *placed != placement);
         if task.crashes.begun.take_if(|begun| begun.run == placement.run).is_some() {
@@ -224,10 +225,10 @@
         self.raise_token_after_silence(instance_no);
         let (task, run) = order.run();
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
-        let settled_by = instance.token;
+        let settling_token = instance.token;
         if let Some(run_state) = instance.run_mut(task, run) {
             match order {
-                Order::Start(_) => run_state.phase = Phase::Doubtful { settled_by },
+                Order::Start(_) => run_state.phase = Phase::StartUnanswered { settling_token },
                 Order::Stop { .. } => run_state.stopping = false,
                 Order::Pace { .. } => run_state.paced_percent = UNKNOWN_PACE_PERCENT,
             }
@@ -247,7 +248,7 @@
             run_state.progress.rose_at = now;
         }
         if let Some(job) = self.jobs.get_mut(&start.task.job) {
-            job.begun = true;
+            job.has_started = true;
         }
         self.repace(instance_no);
         self.schedule_poll_within(instance_no, POLL_AFTER_START);
--- a/crates/kitetrail-core/src/jobs/scheduler/pace.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pace.rs
@@ -51,7 +51,7 @@
         let now = self.now;
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
         let previous_paces = mem::take(&mut instance.paces);
-        if !instance.fills() {
+        if !instance.has_best_effort() {
             return;
         }
         let mut changed_percents = Vec::new();
@@ -79,7 +79,8 @@
         let paces = instance.paces.clone();
         for (task, run) in instance.runs_mut() {
             let percent = paces.get(&run.image).map_or(FULL_PACE_PERCENT, |pace| pace.percent);
-            let differs_from_order = run.fills && !run.stopping && run.paced_percent != percent;
+            let differs_from_order =
+                run.is_best_effort && !run.stopping && run.paced_percent != percent;
             if differs_from_order && run.is_running() {
                 run.paced_percent = percent;
                 orders.push(Order::Pace { task, run: run.run, percent });
@@ -103,13 +104,13 @@
 fn shares(tails: &TailModel, instance: &WorkerInstance, now: Time) -> Shares {
     let full_loads_by_image = full_loads(instance);
     let mut shares = full_loads_by_image.iter().map(|&(image, _)| (image, 1.0)).collect::<Shares>();
-    for run in instance.runs().values().filter(|run| run.serves()) {
+    for run in instance.runs().values().filter(|run| run.is_serving()) {
         let is_cause = |&&(best_effort_image, _): &&Load| {
             tails.effect(best_effort_image, run.image) >= NEGLIGIBLE_EFFECT
         };
         let causes = full_loads_by_image.iter().filter(is_cause).copied().collect::<Vec<_>>();
         slow_to_target(tails, run, &causes, &mut shares);
-        if run.over_since.is_some_and(|since| now.since(since) >= HALT_AFTER_OVER_TARGET) {
+        if run.above_target_since.is_some_and(|since| now.since(since) >= HALT_AFTER_OVER_TARGET) {
             shares.values_mut().for_each(|share| *share = 0.0);
         }
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/pass.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pass.rs
@@ -46,7 +46,7 @@
     /// equivalent.
     pub(super) fn has_no_room_for(&self, spec: &StepSpec, lateness: Lateness) -> bool {
         self.steps_without_room.iter().any(|(unplaced, unplaced_lateness)| {
-            unplaced.fills == spec.fills
+            unplaced.best_effort == spec.best_effort
                 && unplaced_lateness.max_added_penalty() >= lateness.max_added_penalty()
                 && unplaced.image == spec.image
                 && unplaced.size.fits_in(&spec.size)
@@ -58,7 +58,7 @@
     pub(super) fn note_no_room(&mut self, spec: StepSpec, lateness: Lateness) {
         // Room is kept only for short tasks whose jobs can complete in time, however many late ones
         // wait.
-        if !spec.fills && !spec.lasts && lateness == Lateness::InTime {
+        if !spec.best_effort && !spec.long_running && lateness == Lateness::InTime {
             self.short_waiting += spec.count;
         }
         if spec.label.is_none() && spec.max_per_worker.is_none() {
--- a/crates/kitetrail-core/src/jobs/scheduler/place.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/place.rs
@@ -4,7 +4,7 @@
 
 use super::{
     super::{
-        crashes::BegunRun,
+        crashes::PersistedStart,
         event::Action,
         instance::{InstanceNo, WorkerInstance},
         job::Job,
@@ -36,13 +36,13 @@
 
     /// Returns the jobs that may have waiting tasks, in the order in which they are placed.
     fn waiting_jobs(&self) -> Vec<JobId> {
-        let is_overlooked = |job: &&Job| !job.may_wait && job.has_due_unplaced();
+        let is_overlooked = |job: &&Job| !job.may_have_waiting_tasks && job.has_due_unplaced();
         debug_assert!(
             self.jobs.values().find(is_overlooked).is_none(),
             "jobs with waiting tasks have `may_wait` set"
         );
         let key = |&(priority, due_at, id): &(u32, Time, JobId)| {
-            let job = self.jobs.get(&id).filter(|job| job.may_wait)?;
+            let job = self.jobs.get(&id).filter(|job| job.may_have_waiting_tasks)?;
             Some((priority, PlacementRank::of(job, self.now), due_at, id))
         };
         let mut waiting = self.open.iter().filter_map(key).collect::<Vec<_>>();
@@ -53,7 +53,7 @@
     /// Places the waiting tasks of one job.
     pub(super) fn place_job(&mut self, id: JobId, pass: &mut PlacementPass) {
         let (now, awaits_workers) = (self.now, !self.unheard.is_empty());
-        let Some(job) = self.jobs.get_mut(&id).filter(|job| job.kept) else { return };
+        let Some(job) = self.jobs.get_mut(&id).filter(|job| job.is_persisted) else { return };
         let lateness = Lateness::of(job, now);
         if (job.inherited && awaits_workers) || pass.starts_left == 0 {
             return;
@@ -108,8 +108,11 @@
     fn rank(&mut self, name: TaskName, spec: &StepSpec, pass: &PlacementPass) -> Ranking {
         self.refresh_rooms();
         // The worker that one task avoids need not be avoided by its siblings.
-        let fit =
-            self.fit(name, spec, &[]).map(|fit| Fit { avoid: None, runs_alone: false, ..fit });
+        let fit = self.fit(name, spec, &[]).map(|fit| Fit {
+            avoided_instance: None,
+            runs_alone: false,
+            ..fit
+        });
         let Some(fit) = fit else { return Ranking::new(iter::empty()) };
         let score = |instance_no| {
             Some((
@@ -156,7 +159,7 @@
             image: *job.images.get(name.step as usize)?,
             members,
             rack: first.map(|instance| instance.entry.rack.as_str()),
-            avoid: job.task(name).and_then(|task| task.avoid),
+            avoided_instance: job.task(name).and_then(|task| task.avoided_instance),
             now: self.now,
             runs_alone: job.task(name).is_some_and(|task| task.crashes.runs_alone()),
             lateness: Lateness::of(job, self.now),
@@ -198,7 +201,7 @@
             return;
         }
         let run = tasks.iter().map(|task| task.last_run).max().unwrap_or(0) + 1;
-        let watched = tasks.iter().any(|task| task.watched);
+        let persists_starts = tasks.iter().any(|task| task.persists_starts);
         let checkpoint = tasks.iter().find_map(|task| task.checkpoint.clone());
         let mut chosen = Vec::new();
         for index in 0..spec.count {
@@ -213,7 +216,7 @@
             if let Some(task) = self.task_mut(name) {
                 task.checkpoint.clone_from(&checkpoint);
                 // Members wait for each other, so their starts are sent together.
-                task.watched = watched;
+                task.persists_starts = persists_starts;
             }
             self.start(name, instance_no, spec, Some(run));
         }
@@ -259,9 +262,9 @@
         task.last_run = run;
         let suspected = !task.crashes.workers.is_empty();
         let runs_alone = task.crashes.runs_alone();
-        task.note_start(self.inherited_crashed);
-        let persist_first = task.watched;
-        task.crashes.begun = persist_first.then(|| BegunRun::new(run, instance.entry.key()));
+        task.record_start(self.inherited_crashed);
+        let persist_first = task.persists_starts;
+        task.crashes.begun = persist_first.then(|| PersistedStart::new(run, instance.entry.key()));
         task.placed.push(Placement { instance: instance_no, run });
         let checkpoint = task.checkpoint.clone().filter(|_| spec.keeps_progress);
         self.started.record(spec.kind(), job.can_be_in_time(self.now));
@@ -276,10 +279,10 @@
                 .unwrap_or_default(),
             last_answer_age_ms: instance.last_answer_age_ms(self.now),
         }));
-        if !spec.fills && !spec.lasts {
+        if !spec.best_effort && !spec.long_running {
             self.short_work.record_size(spec.size.cpu_millis.0);
         }
-        let phase = if persist_first { Phase::Unkept } else { Phase::Ordered };
+        let phase = if persist_first { Phase::Unpersisted } else { Phase::Ordered };
         let new_run = PlacedRun::new(run, spec, image, self.now);
         instance.insert_run(name, PlacedRun { phase, suspected, alone: runs_alone, ..new_run });
         let order = StartOrder { task: name, run, payload, checkpoint, ticket: None };
--- a/crates/kitetrail-core/src/jobs/scheduler/poll_answers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/poll_answers.rs
@@ -168,13 +168,13 @@
 
     fn record_running(&mut self, name: TaskName, placement: Placement, checkpoint: Option<&str>) {
         let Some(job) = self.jobs.get_mut(&name.job) else { return };
-        job.begun = true;
+        job.has_started = true;
         let Some(task) = job.task_mut(name) else { return };
         if !task.placed.contains(&placement) {
             task.placed.push(placement);
         }
         task.last_run = task.last_run.max(placement.run);
-        task.unaccounted = false;
+        task.maybe_started_before = false;
         if checkpoint.is_some() && checkpoint != task.checkpoint.as_deref() {
             task.checkpoint = checkpoint.map(str::to_owned);
         }
@@ -200,7 +200,7 @@
             progress: Progress { from_percent: running.percent, ..Progress::new(now) },
             gauge: running.gauge,
             paced_percent: UNKNOWN_PACE_PERCENT,
-            adopted: true,
+            started_by_predecessor: true,
             ..PlacedRun::new(running.run, spec, image, now)
         };
         if let Some(instance) = self.instances.get_mut(instance_no) {
@@ -228,8 +228,8 @@
         };
         let missing = instance.runs().iter().filter(|&(&name, run_state)| {
             let is_settled = match run_state.phase {
-                Phase::Unkept | Phase::Ordered => false,
-                Phase::Doubtful { settled_by } => poll.token >= settled_by,
+                Phase::Unpersisted | Phase::Ordered => false,
+                Phase::StartUnanswered { settling_token } => poll.token >= settling_token,
                 Phase::Running(since) => since < sent_at,
             };
             is_settled && !reported(name, run_state.run)
--- a/crates/kitetrail-core/src/jobs/scheduler/polls.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/polls.rs
@@ -107,7 +107,7 @@
     let is_leased = instance.unanswered_polls == 0 && instance.leasing == Leasing::Allowed;
     let immediate =
         !is_leased || instance.contested || !instance.has_reported || instance.runs().is_empty();
-    let shared = instance.serves() && instance.fills();
+    let shared = instance.has_serving() && instance.has_best_effort();
     match (immediate, shared) {
         (true, _) => 0,
         (false, true) => POLL_WAIT_SHARED_MS,
--- a/crates/kitetrail-core/src/jobs/scheduler/requests.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/requests.rs
@@ -32,7 +32,7 @@
         self.out.push(Action::Log(entry));
         match known {
             _ if ended => self.out.push(Action::AnswerSubmit(request, SubmitAnswer::Accepted)),
-            Some(job) if job.kept => {
+            Some(job) if job.is_persisted => {
                 self.out.push(Action::AnswerSubmit(request, SubmitAnswer::Accepted));
             }
             Some(job) => job.submit_waiters.push(request),
--- a/crates/kitetrail-core/src/jobs/scheduler/short_work.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/short_work.rs
@@ -99,7 +99,7 @@
     pub(super) fn is_held_back(&mut self, name: TaskName, spec: &StepSpec) -> bool {
         let Some(job) = self.jobs.get(&name.job) else { return false };
         let is_new = job.task(name).is_some_and(|task| task.last_run == 0);
-        if !spec.lasts || !is_new || self.short_work.average_tasks < MIN_NEED {
+        if !spec.long_running || !is_new || self.short_work.average_tasks < MIN_NEED {
             return false;
         }
         let accepted_at = job.accepted_at;
@@ -111,7 +111,7 @@
     /// Returns whether a long-running task would take room that short tasks need, wherever it were
     /// placed.
     pub(super) fn takes_room_of_short_work(&mut self, spec: &StepSpec) -> bool {
-        let is_relevant = spec.lasts && self.short_work.average_tasks >= MIN_NEED;
+        let is_relevant = spec.long_running && self.short_work.average_tasks >= MIN_NEED;
         is_relevant && self.scarcity_and_places(spec.size.cpu_millis.0).0
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/shrunk.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/shrunk.rs
@@ -33,7 +33,8 @@
             Order::Start(start) => Some((start.task, start.run)),
             Order::Stop { .. } | Order::Pace { .. } => None,
         });
-        let unpersisted = || instance.runs().iter().find(|(_, run)| run.phase == Phase::Unkept);
+        let unpersisted =
+            || instance.runs().iter().find(|(_, run)| run.phase == Phase::Unpersisted);
         unsent.or_else(|| unpersisted().map(|(&task, run)| (task, run.run)))
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/slowed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/slowed.rs
@@ -65,7 +65,7 @@
 
 /// Returns whether a run has been slowed for long, can be moved and has enough work left.
 fn is_slowed(instance: &WorkerInstance, run: &PlacedRun, now: Time) -> bool {
-    let is_movable = run.fills && run.keeps_progress && !run.stopping;
+    let is_movable = run.is_best_effort && run.keeps_progress && !run.stopping;
     let slowed = instance
         .paces
         .get(&run.image)
--- a/crates/kitetrail-core/src/jobs/scheduler/stragglers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/stragglers.rs
@@ -106,9 +106,9 @@
         let job = self.jobs.get(&task.job)?;
         let step = job.step(task.step_name())?;
         // The first tasks to end are the shortest.
-        let is_representative =
-            step.timed >= MIN_TIMED_TASKS && step.timed as usize * 2 >= step.tasks.len();
-        is_representative.then(|| step.timed_ms as f64 / f64::from(step.timed))
+        let is_representative = step.completed_runs >= MIN_TIMED_TASKS
+            && step.completed_runs as usize * 2 >= step.tasks.len();
+        is_representative.then(|| step.completed_runs_ms as f64 / f64::from(step.completed_runs))
     }
 
     /// Starts a copy of a stalled or slow run, or moves it, if that pays off.
@@ -124,10 +124,10 @@
             return self.start_copy(instance_no, task);
         }
         // A paced run is slow because the scheduler slowed it.
-        if spec.fills && problem == Problem::Slow {
+        if spec.best_effort && problem == Problem::Slow {
             return;
         }
-        let was_moved_enough = |task: &mut Task| task.slow_moves >= MAX_SLOW_MOVES;
+        let was_moved_enough = |task: &mut Task| task.moves_for_slowness >= MAX_SLOW_MOVES;
         if problem == Problem::Slow && self.task_mut(task).is_some_and(was_moved_enough) {
             return;
         }
@@ -145,7 +145,7 @@
             Problem::Slow => "moved: it is slower than other tasks of its step",
         };
         if let Some(task) = self.task_mut(task).filter(|_| problem == Problem::Slow) {
-            task.slow_moves += 1;
+            task.moves_for_slowness += 1;
         }
         self.move_run(instance_no, task, run, why);
     }
@@ -156,7 +156,7 @@
         let Some(spec) = self.step_spec(name).cloned() else { return };
         let Some(job) = self.jobs.get(&name.job).filter(|job| job.is_open()) else { return };
         let task = job.task(name);
-        if task.is_none_or(|task| task.done || task.placed.len() != 1 || task.watched) {
+        if task.is_none_or(|task| task.done || task.placed.len() != 1 || task.persists_starts) {
             return;
         }
         self.avoid(name, instance_no);
@@ -188,8 +188,8 @@
 
 /// Returns whether the reported percent of a run tells how much of its work is done.
 fn has_meaningful_percent(run: &PlacedRun) -> bool {
-    let is_slowed_down = run.fills && run.paced_percent < LOW_PACE_PERCENT;
-    run.is_running() && !run.stopping && !run.lasts && !is_slowed_down
+    let is_slowed_down = run.is_best_effort && run.paced_percent < LOW_PACE_PERCENT;
+    run.is_running() && !run.stopping && !run.is_long_running && !is_slowed_down
 }
 
 /// Returns the predicted duration of a run at its present speed, in milliseconds.
--- a/crates/kitetrail-core/src/jobs/scheduler/unlisted.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/unlisted.rs
@@ -70,8 +70,10 @@
     pub(super) fn may_move_run(&self, instance_no: InstanceNo, task: TaskName) -> bool {
         let draining =
             self.instances.get(instance_no).is_some_and(|instance| instance.entry.draining);
-        let may_miss = self.step_spec(task).and_then(|spec| spec.may_miss);
-        draining || may_miss.is_none_or(|may_miss| self.others_missing(task) < may_miss as usize)
+        let max_unavailable = self.step_spec(task).and_then(|spec| spec.max_unavailable);
+        draining
+            || max_unavailable
+                .is_none_or(|max_unavailable| self.others_missing(task) < max_unavailable as usize)
     }
 
     /// Returns what the removal of an entry at this moment means.
@@ -107,12 +109,12 @@
         let step = self.jobs.get(&task.job).and_then(|job| job.step(task.step_name()));
         let count = step.map_or(0, |step| step.tasks.len()) as u32;
         let others = (0..count).filter(|&index| index != task.index);
-        others.filter(|&index| !self.is_at_work(TaskName { index, ..task })).count()
+        others.filter(|&index| !self.reports_ready(TaskName { index, ..task })).count()
     }
 
     /// Returns whether a task is working according to its worker's last report and is not being
     /// stopped.
-    fn is_at_work(&self, name: TaskName) -> bool {
+    fn reports_ready(&self, name: TaskName) -> bool {
         let placed =
             self.jobs.get(&name.job).and_then(|job| job.task(name)).map(|task| &task.placed);
         placed.into_iter().flatten().any(|placed| {
@@ -122,7 +124,7 @@
                 .filter(|instance| instance.unanswered_polls == 0);
             instance
                 .and_then(|instance| instance.runs().get(&name))
-                .is_some_and(PlacedRun::is_at_work)
+                .is_some_and(PlacedRun::reports_ready)
         })
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/workers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/workers.rs
@@ -124,7 +124,7 @@
         instance.last_evacuation_attempt_at = Some(now);
         let must_move = |run: &PlacedRun| {
             let saved = run.keeps_progress && run.percent < MAX_PERCENT_TO_MOVE;
-            !run.stopping && run.is_running() && (run.lasts || saved)
+            !run.stopping && run.is_running() && (run.is_long_running || saved)
         };
         let runs = instance.runs().iter().filter(|(_, run)| must_move(run));
         for (task, run) in runs.map(|(&task, run)| (task, run.run)).collect::<Vec<_>>() {
--- a/crates/kitetrail-core/src/jobs/spec.rs
+++ b/crates/kitetrail-core/src/jobs/spec.rs
@@ -103,8 +103,8 @@
     #[serde(skip_serializing_if = "is_default")]
     pub copies_allowed: bool,
     /// Whether the tasks run until the job is cancelled.
-    #[serde(skip_serializing_if = "is_default")]
-    pub lasts: bool,
+    #[serde(rename = "lasts", skip_serializing_if = "is_default")]
+    pub long_running: bool,
     /// The image that the tasks run. Tasks of one image behave alike.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub image: Option<String>,
@@ -113,19 +113,19 @@
     pub tail_target_ms: Option<u64>,
     /// Whether the tasks are best-effort: they use the processor time that others leave and have no
     /// reservation of it.
-    #[serde(skip_serializing_if = "is_default")]
-    pub fills: bool,
+    #[serde(rename = "fills", skip_serializing_if = "is_default")]
+    pub best_effort: bool,
     /// The maximum number of tasks that may be unavailable at the same time because of the
     /// scheduler's decisions.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub may_miss: Option<u32>,
+    #[serde(rename = "may_miss", skip_serializing_if = "Option::is_none")]
+    pub max_unavailable: Option<u32>,
 }
 
 impl StepSpec {
     /// Returns the kind of work that the tasks are.
     pub fn kind(&self) -> WorkKind {
-        match (self.lasts, self.fills) {
-            (true, _) => WorkKind::Lasting,
+        match (self.long_running, self.best_effort) {
+            (true, _) => WorkKind::LongRunning,
             (false, true) => WorkKind::BestEffort,
             (false, false) => WorkKind::Short,
         }
@@ -140,12 +140,12 @@
     /// The task uses the processor time that others leave, and ends by itself.
     BestEffort,
     /// The task runs until its job is cancelled.
-    Lasting,
+    LongRunning,
 }
 
 impl WorkKind {
     /// All kinds.
-    pub const ALL: [Self; 3] = [Self::Short, Self::BestEffort, Self::Lasting];
+    pub const ALL: [Self; 3] = [Self::Short, Self::BestEffort, Self::LongRunning];
 }
 
 impl Display for WorkKind {
@@ -153,7 +153,7 @@
         f.write_str(match self {
             Self::Short => "short",
             Self::BestEffort => "best-effort",
-            Self::Lasting => "lasting",
+            Self::LongRunning => "lasting",
         })
     }
 }
@@ -212,14 +212,14 @@
             return Err(InvalidJob::TooManyScheduledTasks(scheduled));
         }
         self.check_dependencies()?;
-        match self.kept_bytes() {
+        match self.stored_bytes() {
             bytes if bytes > MAX_JOB_BYTES => Err(InvalidJob::TooLong(bytes)),
             _ => Ok(()),
         }
     }
 
     /// Returns the size of the stored job specification, in bytes.
-    pub fn kept_bytes(&self) -> usize {
+    pub fn stored_bytes(&self) -> usize {
         // The specification contains only strings and numbers, so serialisation can't fail.
         serde_json::to_vec(self).map_or(usize::MAX, |json| json.len())
     }
--- a/crates/kitetrail-core/src/jobs/steps.rs
+++ b/crates/kitetrail-core/src/jobs/steps.rs
@@ -30,24 +30,24 @@
     /// The time before which the task is not placed again, after a failure.
     pub(super) not_before: Option<Time>,
     /// The worker instance of the last failed run.
-    pub(super) avoid: Option<InstanceNo>,
+    pub(super) avoided_instance: Option<InstanceNo>,
     /// The number of times that the task was moved because it was slow.
-    pub(super) slow_moves: u32,
+    pub(super) moves_for_slowness: u32,
     /// The crashes of workers that ran the task.
     pub(super) crashes: TaskCrashes,
     /// Whether each start of the task is stored before it is ordered.
-    pub(super) watched: bool,
+    pub(super) persists_starts: bool,
     /// Whether the previous owner may have started the task, while this one has neither started it
     /// nor received a report of a run.
-    pub(super) unaccounted: bool,
+    pub(super) maybe_started_before: bool,
 }
 
 impl Task {
     /// Records that the task is started. `owner_lost` is whether the previous owner was lost and
     /// may have started the task on a worker that crashed, without counting the crash.
-    pub(super) fn note_start(&mut self, owner_lost: bool) {
-        if mem::take(&mut self.unaccounted) && owner_lost {
-            self.watched = true;
+    pub(super) fn record_start(&mut self, owner_lost: bool) {
+        if mem::take(&mut self.maybe_started_before) && owner_lost {
+            self.persists_starts = true;
             self.crashes.may_miss_some = true;
         }
     }
@@ -65,13 +65,18 @@
     /// The number of tasks that are done.
     pub(super) done: u32,
     /// The number of runs that did all the work of a task, and their total run time.
-    pub(super) timed: u32,
-    pub(super) timed_ms: u64,
+    pub(super) completed_runs: u32,
+    pub(super) completed_runs_ms: u64,
 }
 
 impl Step {
     fn new(spec: &StepSpec) -> Self {
-        Self { tasks: vec![Task::default(); spec.count as usize], done: 0, timed: 0, timed_ms: 0 }
+        Self {
+            tasks: vec![Task::default(); spec.count as usize],
+            done: 0,
+            completed_runs: 0,
+            completed_runs_ms: 0,
+        }
     }
 
     pub(super) fn is_done(&self) -> bool {
@@ -120,17 +125,17 @@
     }
 
     /// Restores the stored progress. Returns whether any task had begun.
-    pub(super) fn restore(&mut self, kept: &StepProgress) -> bool {
+    pub(super) fn restore(&mut self, stored: &StepProgress) -> bool {
         let mut begun = false;
         for (index, task) in (0..).zip(&mut self.tasks) {
-            task.done = kept.is_done(index);
+            task.done = stored.is_done(index);
             self.done += u32::from(task.done);
-            let failed = kept.failed_runs.get(&index).into_iter().flatten().copied();
+            let failed = stored.failed_runs.get(&index).into_iter().flatten().copied();
             task.failed_runs = failed.collect();
             task.last_run = task.failed_runs.last().copied().unwrap_or(0);
-            task.crashes = kept.crashes.get(&index).cloned().unwrap_or_default();
-            task.watched = !task.crashes.is_empty();
-            begun |= task.done || task.watched || !task.failed_runs.is_empty();
+            task.crashes = stored.crashes.get(&index).cloned().unwrap_or_default();
+            task.persists_starts = !task.crashes.is_empty();
+            begun |= task.done || task.persists_starts || !task.failed_runs.is_empty();
         }
         begun
     }
--- a/crates/kitetrail-core/tests/fleet/mod.rs
+++ b/crates/kitetrail-core/tests/fleet/mod.rs
@@ -363,8 +363,8 @@
     fn check_accepted_is_stored(&self, answer: &Action) {
         if let Action::AnswerSubmit(request, SubmitAnswer::Accepted) = answer {
             let id = self.submitted_jobs[request];
-            let kept = self.jobs.contains_key(&id) || self.progress.contains_key(&id);
-            assert!(kept, "{id} is accepted without a record in the store");
+            let is_stored = self.jobs.contains_key(&id) || self.progress.contains_key(&id);
+            assert!(is_stored, "{id} is accepted without a record in the store");
         }
     }
 
@@ -406,13 +406,13 @@
     fn work_of(&self, name: TaskName) -> Work {
         let spec = self.specs.get(&name.job).map(|spec| &spec.steps[name.step as usize]);
         Work {
-            work_ms: match spec.is_some_and(|step| step.lasts) {
+            work_ms: match spec.is_some_and(|step| step.long_running) {
                 true => self.lasting_ms,
                 false => self.work_ms.or(spec.map(|step| step.estimate_ms)).unwrap_or(1_000),
             },
             cpu_millis: spec.map_or(0, |step| step.size.cpu_millis.0),
-            serves: spec.is_some_and(|step| step.tail_target_ms.is_some()),
-            lasts: spec.is_some_and(|step| step.lasts),
+            is_serving: spec.is_some_and(|step| step.tail_target_ms.is_some()),
+            is_long_running: spec.is_some_and(|step| step.long_running),
         }
     }
 
@@ -433,22 +433,22 @@
         let ends = self.workers.get(id).into_iter().flat_map(|worker| &worker.ended);
         for end in ends.filter(|end| end.number <= last_acknowledged && end.how == HowEnded::Done) {
             let name = end.task;
-            if self.work_of(name).lasts {
+            if self.work_of(name).is_long_running {
                 // A long-running task runs until its job is cancelled, so its end changes nothing.
                 continue;
             }
             // A dropped job, or one that was never stored, has no records.
-            let Some(kept) = self.progress.get(&name.job) else {
+            let Some(stored) = self.progress.get(&name.job) else {
                 assert!(
                     !self.jobs.contains_key(&name.job),
                     "the store holds no record of the end of {name}"
                 );
                 continue;
             };
-            let step = kept.occurrences.get(&name.occurrence);
+            let step = stored.occurrences.get(&name.occurrence);
             let step = step.and_then(|occurrence| occurrence.steps.get(name.step as usize));
             let is_done = step.is_none_or(|step| step.is_done(name.index));
-            assert!(is_done || kept.outcome != Outcome::Open, "the end of {name} is not stored");
+            assert!(is_done || stored.outcome != Outcome::Open, "the end of {name} is not stored");
         }
     }
 
--- a/crates/kitetrail-core/tests/fleet/restarts.rs
+++ b/crates/kitetrail-core/tests/fleet/restarts.rs
@@ -132,7 +132,7 @@
     /// Returns whether a task may be started again after an end, since it is long-running or copies are allowed.
     fn may_repeat(&self, name: TaskName) -> bool {
         let spec = self.specs.get(&name.job).and_then(|spec| spec.steps.get(name.step as usize));
-        spec.is_none_or(|step| step.lasts || step.copies_allowed)
+        spec.is_none_or(|step| step.long_running || step.copies_allowed)
     }
 }
 
--- a/crates/kitetrail-core/tests/fleet/worker.rs
+++ b/crates/kitetrail-core/tests/fleet/worker.rs
@@ -70,9 +70,9 @@
     /// The processor use at full speed, in thousandths of a core.
     pub cpu_millis: u32,
     /// Whether the task serves users, so that its gauge is its tail latency.
-    pub serves: bool,
+    pub is_serving: bool,
     /// Whether the task is long-running, until it is stopped.
-    pub lasts: bool,
+    pub is_long_running: bool,
     /// Whether the run waits for other members of its gang.
     pub waits_for_gang: bool,
     /// The time that the run has waited for its gang, in milliseconds.
@@ -80,15 +80,15 @@
 }
 
 impl Running {
-    fn new(run: u32, Work { work_ms, cpu_millis, serves, lasts }: Work) -> Self {
+    fn new(run: u32, Work { work_ms, cpu_millis, is_serving, is_long_running }: Work) -> Self {
         Self {
             run,
             done_ms: 0,
             work_ms,
             percent: 100,
             cpu_millis,
-            serves,
-            lasts,
+            is_serving,
+            is_long_running,
             waits_for_gang: false,
             waited_ms: 0,
         }
@@ -96,7 +96,7 @@
 
     /// Returns the progress that the worker reports, in percent.
     pub fn told_percent(&self) -> u32 {
-        let total_ms = if self.lasts { STARTUP_MS } else { self.work_ms };
+        let total_ms = if self.is_long_running { STARTUP_MS } else { self.work_ms };
         (self.done_ms * 100 / total_ms).min(100) as u32
     }
 }
@@ -106,8 +106,8 @@
 pub struct Work {
     pub work_ms: u64,
     pub cpu_millis: u32,
-    pub serves: bool,
-    pub lasts: bool,
+    pub is_serving: bool,
+    pub is_long_running: bool,
 }
 
 /// An order that is carried out at a later time.
@@ -361,7 +361,7 @@
             run: running.run,
             checkpoint: Some(format!("{task}@{}", running.done_ms)),
             percent: running.told_percent(),
-            gauge: Some(match running.serves {
+            gauge: Some(match running.is_serving {
                 true => tail_ms,
                 false => running.cpu_millis * u32::from(running.percent) / 100,
             }),
--- a/crates/kitetrail-core/tests/jobs.rs
+++ b/crates/kitetrail-core/tests/jobs.rs
@@ -148,7 +148,7 @@
     // time.
     world.submit(
         1,
-        job(vec![StepSpec { lasts: true, size: Resources::new(400, 64, 0), ..step(8) }]),
+        job(vec![StepSpec { long_running: true, size: Resources::new(400, 64, 0), ..step(8) }]),
     );
     world.run_ms(1_000);
     world.worker("w0").mood = Mood::Well;
@@ -349,7 +349,7 @@
 fn long_running_task_moves_before_its_worker_leaves() {
     let mut world = World::new(2);
     world.work_ms = Some(600_000);
-    world.submit(1, job(vec![StepSpec { lasts: true, ..step(1) }]));
+    world.submit(1, job(vec![StepSpec { long_running: true, ..step(1) }]));
     world.run_ms(500);
     let draining = world.worker_of(task(1, 0, 0));
     let worker = world.worker(&draining);
@@ -365,7 +365,7 @@
 fn long_running_task_restarts_each_time_it_ends() {
     let mut world = World::new(1);
     world.lasting_ms = 700;
-    world.submit(1, job(vec![StepSpec { lasts: true, ..step(1) }]));
+    world.submit(1, job(vec![StepSpec { long_running: true, ..step(1) }]));
     world.run_ms(3_000);
     assert!(world.starts.len() >= 3, "{} starts", world.starts.len());
     assert_eq!(world.state(1), Some(JobState::Running));
@@ -468,3 +468,23 @@
     let long_starts = world.starts.iter().filter(|(_, name, ..)| *name == task(1, 0, 3)).count();
     assert!(long_starts <= 3, "the long task was started {long_starts} times");
 }
+
+/// Jobs stored before these fields were renamed must still be read, also by the owners of older
+/// boxes, so the stored names stay.
+#[test]
+fn stored_steps_keep_their_field_names() {
+    let stored = concat!(
+        r#"{"count":2,"size":{"cpu_millis":400,"memory_mb":64,"accelerators":0},"#,
+        r#""lasts":true,"fills":true,"may_miss":1}"#
+    );
+    let step = StepSpec {
+        count: 2,
+        size: Resources::new(400, 64, 0),
+        long_running: true,
+        best_effort: true,
+        max_unavailable: Some(1),
+        ..StepSpec::default()
+    };
+    assert_eq!(serde_json::from_str::<StepSpec>(stored).unwrap(), step);
+    assert_eq!(serde_json::to_string(&step).unwrap(), stored);
+}
--- a/crates/kitetrail-core/tests/jobs_cancelled.rs
+++ b/crates/kitetrail-core/tests/jobs_cancelled.rs
@@ -14,7 +14,7 @@
 
 /// Returns a step whose tasks run far longer than any test.
 fn long_running_step(count: u32) -> StepSpec {
-    StepSpec { lasts: true, ..step(count) }
+    StepSpec { long_running: true, ..step(count) }
 }
 
 /// Returns a fleet of one worker with a delayed start in transit. No other message reaches
--- a/crates/kitetrail-core/tests/jobs_crashing.rs
+++ b/crates/kitetrail-core/tests/jobs_crashing.rs
@@ -54,7 +54,7 @@
     let mut world = World::new(6);
     let crashing = task(1, 0, 0);
     world.make_crashing(crashing);
-    let long_running = StepSpec { lasts: true, ..step(2) };
+    let long_running = StepSpec { long_running: true, ..step(2) };
     world.submit(1, job(vec![long_running]));
     world.run_ms(40_000);
     let starts = world.starts_after_third_crash(crashing);
@@ -88,7 +88,7 @@
 
 /// Returns a step of small long-running tasks, of which many fit on a worker beside a crashing task.
 fn long_running_step(count: u32) -> StepSpec {
-    StepSpec { lasts: true, size: Resources::new(500, 256, 0), ..step(count) }
+    StepSpec { long_running: true, size: Resources::new(500, 256, 0), ..step(count) }
 }
 
 /// Returns the ids of the healthy workers in random order.
@@ -228,7 +228,7 @@
 fn crash_records_fit_into_one_store_row() {
     // 2,000 tasks of one job are lost with their workers and restarted by an owner that did not observe their runs.
     let mut world = World::new(64);
-    let small = StepSpec { lasts: true, size: Resources::new(100, 50, 0), ..step(2_000) };
+    let small = StepSpec { long_running: true, size: Resources::new(100, 50, 0), ..step(2_000) };
     world.submit(1, job(vec![small]));
     world.run_until("all tasks run", |world| world.starts.len() == 2_000);
     let ids = world.workers.keys().cloned().collect::<Vec<_>>();
--- a/crates/kitetrail-core/tests/jobs_evacuation.rs
+++ b/crates/kitetrail-core/tests/jobs_evacuation.rs
@@ -54,11 +54,11 @@
 /// Returns the number of long-running tasks that are at work at present.
 fn at_work_count(world: &World) -> usize {
     let runs = world.workers.values().flat_map(|worker| worker.running.values());
-    runs.filter(|run| run.lasts && run.told_percent() == 100).count()
+    runs.filter(|run| run.is_long_running && run.told_percent() == 100).count()
 }
 
-fn long_running(count: u32, may_miss: Option<u32>) -> StepSpec {
-    StepSpec { lasts: true, may_miss, ..step(count) }
+fn long_running(count: u32, max_unavailable: Option<u32>) -> StepSpec {
+    StepSpec { long_running: true, max_unavailable, ..step(count) }
 }
 
 fn is_completed(world: &World, job: u64) -> bool {
@@ -219,7 +219,10 @@
     let mut world = two_zones(2);
     world.work_ms = Some(600_000);
     let image = |name: &str| Some(name.to_owned());
-    world.submit(1, job(vec![StepSpec { fills: true, image: image("disturbing"), ..step(1) }]));
+    world.submit(
+        1,
+        job(vec![StepSpec { best_effort: true, image: image("disturbing"), ..step(1) }]),
+    );
     world.run_ms(1_000);
     let interfering = ServingEffects {
         image: "sensitive".to_owned(),
@@ -318,7 +321,7 @@
     TakeOver { stopped: bool },
     Crash(u32),
     Mood(u32, Mood),
-    Submit { tasks: u32, lasts: bool, copies_allowed: bool, keeps_progress: bool },
+    Submit { tasks: u32, long_running: bool, copies_allowed: bool, keeps_progress: bool },
 }
 
 fn operations() -> impl Strategy<Value = Vec<(u64, Operation)>> {
@@ -329,8 +332,8 @@
         1 => any::<bool>().prop_map(|stopped| Operation::TakeOver { stopped }),
         1 => (0..6_u32).prop_map(Operation::Crash),
         1 => (0..6_u32, mood).prop_map(|(instance_no, mood)| Operation::Mood(instance_no, mood)),
-        4 => submit.prop_map(|(tasks, lasts, copies_allowed, keeps_progress)| {
-            Operation::Submit { tasks, lasts, copies_allowed, keeps_progress }
+        4 => submit.prop_map(|(tasks, long_running, copies_allowed, keeps_progress)| {
+            Operation::Submit { tasks, long_running, copies_allowed, keeps_progress }
         }),
     ];
     proptest::collection::vec((50..1_500_u64, step), 1..24)
@@ -372,12 +375,12 @@
                 let id = self.world.workers.keys().nth(instance_no as usize).unwrap().clone();
                 self.world.worker(&id).mood = mood;
             }
-            Operation::Submit { tasks, lasts, copies_allowed, keeps_progress } => {
+            Operation::Submit { tasks, long_running, copies_allowed, keeps_progress } => {
                 let id = self.jobs.len() as u64 + 1;
-                self.jobs.push((id, lasts));
-                let copies_allowed = copies_allowed && !lasts;
-                let keeps_progress = keeps_progress && !lasts;
-                let step = StepSpec { lasts, copies_allowed, keeps_progress, ..step(tasks) };
+                self.jobs.push((id, long_running));
+                let copies_allowed = copies_allowed && !long_running;
+                let keeps_progress = keeps_progress && !long_running;
+                let step = StepSpec { long_running, copies_allowed, keeps_progress, ..step(tasks) };
                 self.world.submit(id, job(vec![step]));
             }
         }
@@ -413,9 +416,9 @@
         }
         run.take(Operation::Evacuate([false, false]));
         run.world.set_moods(Mood::Well);
-        let jobs_that_end = run.jobs.iter().filter(|(_, lasts)| !lasts).map(|(id, _)| *id);
+        let jobs_that_end = run.jobs.iter().filter(|(_, long_running)| !long_running).map(|(id, _)| *id);
         let jobs_that_end = jobs_that_end.collect::<Vec<_>>();
-        for (id, _) in run.jobs.iter().filter(|(_, lasts)| *lasts) {
+        for (id, _) in run.jobs.iter().filter(|(_, long_running)| *long_running) {
             run.world.cancel(*id);
         }
         run.world.run_until("all jobs complete", |world| {
--- a/crates/kitetrail-core/tests/jobs_kept.rs
+++ b/crates/kitetrail-core/tests/jobs_kept.rs
@@ -56,9 +56,9 @@
     world.submit(1, JobSpec { schedule: Some(schedule), ..job(vec![step(1)]) });
     world.run_until("four occurrences are done", |world| world.starts.len() == 5);
     world.run_ms(300);
-    let kept = &world.progress[&JobId(1)];
-    assert_eq!(kept.done_before, 4);
-    assert!(kept.occurrences.len() <= 1, "{:?}", kept.occurrences);
+    let stored = &world.progress[&JobId(1)];
+    assert_eq!(stored.done_before, 4);
+    assert!(stored.occurrences.len() <= 1, "{:?}", stored.occurrences);
     world.take_over(2, true);
     world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
     assert_eq!(world.starts.len(), 6, "each occurrence ran once");
--- a/crates/kitetrail-core/tests/jobs_overload.rs
+++ b/crates/kitetrail-core/tests/jobs_overload.rs
@@ -165,7 +165,7 @@
 #[test]
 fn long_running_tasks_restart_before_short_tasks_after_a_takeover() {
     let mut world = World::new(4);
-    world.submit(1, job(vec![StepSpec { lasts: true, ..step(12) }]));
+    world.submit(1, job(vec![StepSpec { long_running: true, ..step(12) }]));
     world.run_until("the watcher runs", |world| {
         (0..12).all(|index| !world.where_runs(task(1, 0, index)).is_empty())
     });
@@ -191,11 +191,16 @@
 }
 
 fn serving_step() -> StepSpec {
-    StepSpec { lasts: true, tail_target_ms: Some(50), image: Some("s".to_owned()), ..step(1) }
+    StepSpec {
+        long_running: true,
+        tail_target_ms: Some(50),
+        image: Some("s".to_owned()),
+        ..step(1)
+    }
 }
 
 fn best_effort_step() -> StepSpec {
-    StepSpec { fills: true, image: Some("f".to_owned()), ..step(1) }
+    StepSpec { best_effort: true, image: Some("f".to_owned()), ..step(1) }
 }
 
 /// Runs the world for `ms` with an owner that lags all the time.
@@ -277,7 +282,7 @@
 #[test]
 fn punctual_owner_restarts_tasks_of_silent_workers() {
     let mut world = World::new(4);
-    world.submit(1, job(vec![StepSpec { lasts: true, ..step(2) }]));
+    world.submit(1, job(vec![StepSpec { long_running: true, ..step(2) }]));
     world.run_ms(300);
     let id = world.worker_of(task(1, 0, 0));
     world.worker(&id).mood = Mood::Cut;
--- a/crates/kitetrail-core/tests/jobs_restarted.rs
+++ b/crates/kitetrail-core/tests/jobs_restarted.rs
@@ -25,7 +25,7 @@
 use kitetrail_core::{
     Resources,
     jobs::{
-        BegunRun, Event, Incarnation, InstanceRecord, JobId, JobState, LogEntry, StepSpec,
+        Event, Incarnation, InstanceRecord, JobId, JobState, LogEntry, PersistedStart, StepSpec,
         WorkerEntry,
     },
 };
@@ -255,7 +255,7 @@
     let row = r#"{"id":"w0","address":"10.0.0.0:80","service":"desk"}"#;
     let record = serde_json::from_str::<InstanceRecord>(row).unwrap();
     assert_eq!((record.key().to_string().as_str(), record.incarnation), ("w0", None));
-    let run = serde_json::from_str::<BegunRun>(r#"{"run":3,"worker":"w0"}"#).unwrap();
+    let run = serde_json::from_str::<PersistedStart>(r#"{"run":3,"worker":"w0"}"#).unwrap();
     assert_eq!(run.instance(), record.key());
 }
 
--- a/crates/kitetrail-core/tests/jobs_sharing.rs
+++ b/crates/kitetrail-core/tests/jobs_sharing.rs
@@ -17,11 +17,15 @@
     // The tail stays above its target however slow the best-effort task is, which no model
     // predicts.
     world.tail_ms = |worker| if worker.running.len() > 1 { 90 } else { 12 };
-    let serving_step =
-        StepSpec { lasts: true, tail_target_ms: Some(50), image: Some("s".to_owned()), ..step(1) };
+    let serving_step = StepSpec {
+        long_running: true,
+        tail_target_ms: Some(50),
+        image: Some("s".to_owned()),
+        ..step(1)
+    };
     world.submit(1, job(vec![serving_step]));
     world.run_ms(1_000);
-    let best_effort_step = StepSpec { fills: true, image: Some("f".to_owned()), ..step(1) };
+    let best_effort_step = StepSpec { best_effort: true, image: Some("f".to_owned()), ..step(1) };
     world.submit(2, job(vec![best_effort_step]));
     world.run_ms(3_500);
     let paced = world.workers["w0"].running[&task(2, 0, 0)].percent;
@@ -36,11 +40,11 @@
     world.tail_ms = |_| 23;
     let image = |name: &str| Some(name.to_owned());
     let serving_step =
-        StepSpec { lasts: true, tail_target_ms: Some(50), image: image("s"), ..step(3) };
+        StepSpec { long_running: true, tail_target_ms: Some(50), image: image("s"), ..step(3) };
     world.submit(1, job(vec![serving_step]));
     world.run_ms(3_000);
     let size = Resources::new(1_800, 512, 0);
-    world.submit(2, job(vec![StepSpec { fills: true, image: image("f"), size, ..step(1) }]));
+    world.submit(2, job(vec![StepSpec { best_effort: true, image: image("f"), size, ..step(1) }]));
     world.run_ms(4_000);
     assert_eq!(world.starts.len(), 3, "it waits for a better worker while it can be in time");
     world.run_until("the hopeless job completes", |world| {
@@ -53,13 +57,13 @@
     let mut world = World::new(1);
     world.work_ms = Some(3_000);
     let size = Resources::new(2_000, 512, 0);
-    let serving_step = StepSpec { lasts: true, tail_target_ms: Some(50), size, ..step(1) };
+    let serving_step = StepSpec { long_running: true, tail_target_ms: Some(50), size, ..step(1) };
     world.submit(1, job(vec![serving_step]));
     world.submit(2, job(vec![StepSpec { size, ..step(1) }]));
     world.run_ms(500);
     let small = Resources::new(1_000, 512, 0);
-    world.submit(3, job(vec![StepSpec { fills: true, size, ..step(1) }]));
-    world.submit(4, job(vec![StepSpec { fills: true, size: small, ..step(1) }]));
+    world.submit(3, job(vec![StepSpec { best_effort: true, size, ..step(1) }]));
+    world.submit(4, job(vec![StepSpec { best_effort: true, size: small, ..step(1) }]));
     world.run_ms(1_000);
     let has_started = |id| world.starts.iter().any(|(_, task, ..)| task.job.0 == id);
     assert!(
@@ -75,7 +79,7 @@
     let mut world = World::new(2);
     world.lasting_ms = 600_000;
     let long_running =
-        |cores| StepSpec { lasts: true, size: Resources::new(cores, 512, 0), ..step(1) };
+        |cores| StepSpec { long_running: true, size: Resources::new(cores, 512, 0), ..step(1) };
     world.submit(1, job(vec![long_running(3_000)]));
     world.submit(2, job(vec![long_running(3_000)]));
     world.run_ms(500);
@@ -125,7 +129,7 @@
     world.work_ms = Some(2_000);
     world.tail_ms = tail_ms;
     let serving_step = |image: &str| StepSpec {
-        lasts: true,
+        long_running: true,
         size: Resources::new(3_000, 512, 0),
         tail_target_ms: Some(50),
         image: Some(image.to_owned()),
@@ -137,7 +141,7 @@
     let tolerant_worker = world.worker_of(task(2, 0, 0));
     assert_ne!(world.where_runs(task(1, 0, 0)), [tolerant_worker.as_str()]);
     let best_effort_step = StepSpec {
-        fills: true,
+        best_effort: true,
         image: Some("disturbing".to_owned()),
         size: Resources::new(1_500, 512, 0),
         ..step(1)
@@ -174,7 +178,7 @@
         world.submit(id, job(vec![step(1)]));
         world.run_ms(500);
     }
-    world.submit(1, job(vec![StepSpec { lasts: true, ..step(1) }]));
+    world.submit(1, job(vec![StepSpec { long_running: true, ..step(1) }]));
     let has_started = |world: &World| world.starts.iter().any(|(_, task, ..)| task.job.0 == 1);
     for id in 143..146 {
         world.submit(id, job(vec![step(1)]));
--- a/crates/kitetrail-core/tests/jobs_shrinking.rs
+++ b/crates/kitetrail-core/tests/jobs_shrinking.rs
@@ -95,7 +95,8 @@
     for seed in 0..30 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut world = World::with_workers((0..6).map(FakeWorker::new));
-        let long_running = StepSpec { lasts: true, size: Resources::new(500, 256, 0), ..step(4) };
+        let long_running =
+            StepSpec { long_running: true, size: Resources::new(500, 256, 0), ..step(4) };
         world.submit(500, job(vec![long_running]));
         for round in 0..60 {
             let id = format!("w{}", rng.random_range(0..6));
--- a/crates/kitetrail-core/tests/jobs_two_owners.rs
+++ b/crates/kitetrail-core/tests/jobs_two_owners.rs
@@ -52,7 +52,7 @@
     // The fleet panics if a task runs twice at the same time.
     let mut world = World::new(6);
     world.work_ms = Some(20_000);
-    world.submit(1, job(vec![step(6), StepSpec { lasts: true, ..step(6) }]));
+    world.submit(1, job(vec![step(6), StepSpec { long_running: true, ..step(6) }]));
     world.run_until("all tasks run", |world| world.starts.len() == 12);
     partition(&mut world, InFlight::Lost);
     world.run_ms(5_500);
--- a/crates/kitetrail-core/tests/jobs_unlisted.rs
+++ b/crates/kitetrail-core/tests/jobs_unlisted.rs
@@ -12,7 +12,7 @@
 
 /// Returns a step of long-running tasks, one per worker.
 fn long_running_step(count: u32) -> StepSpec {
-    StepSpec { lasts: true, max_per_worker: Some(1), ..step(count) }
+    StepSpec { long_running: true, max_per_worker: Some(1), ..step(count) }
 }
 
 /// Creates a fleet on which a job of one step runs, and returns it with the worker of task 0.
@@ -106,9 +106,11 @@
 
 #[test]
 fn no_more_tasks_of_a_step_are_moved_at_once_than_may_be_missing() {
-    for may_miss in [1, 2] {
-        let (mut world, _) =
-            fleet_running(8, StepSpec { may_miss: Some(may_miss), ..long_running_step(4) });
+    for max_unavailable in [1, 2] {
+        let (mut world, _) = fleet_running(
+            8,
+            StepSpec { max_unavailable: Some(max_unavailable), ..long_running_step(4) },
+        );
         let worker_ids = (0..4).map(|index| world.worker_of(task(1, 0, index))).collect::<Vec<_>>();
         for worker in &worker_ids {
             world.unlist(worker);
@@ -117,7 +119,10 @@
             world.run_ms(10);
             let working = world.workers.values().flat_map(|worker| worker.running.values());
             let working = working.filter(|running| running.done_ms >= 300).count() as u32;
-            assert!(working + may_miss >= 4, "{working} are working, {may_miss} may be missing");
+            assert!(
+                working + max_unavailable >= 4,
+                "{working} are working, {max_unavailable} may be missing"
+            );
         }
         assert_eq!(world.starts.len(), 8, "all tasks are moved eventually");
     }
@@ -126,7 +131,7 @@
 #[test]
 fn no_task_is_moved_while_others_of_its_step_are_missing() {
     let (mut world, worker_id) =
-        fleet_running(3, StepSpec { may_miss: Some(1), ..long_running_step(2) });
+        fleet_running(3, StepSpec { max_unavailable: Some(1), ..long_running_step(2) });
     let other = world.worker_of(task(1, 0, 1));
     world.worker(&other).mood = Mood::Cut;
     // By now the worker is silent, but its lease has not expired.
--- a/crates/kitetrail-core/tests/jobs_unusable.rs
+++ b/crates/kitetrail-core/tests/jobs_unusable.rs
@@ -8,7 +8,7 @@
 
 /// Returns a step of long-running tasks.
 fn long_running_step(tasks: u32) -> StepSpec {
-    StepSpec { lasts: true, ..step(tasks) }
+    StepSpec { long_running: true, ..step(tasks) }
 }
 
 /// Returns the number of start orders sent to a worker.
--- a/crates/kitetraild/src/fleet/log_entries.rs
+++ b/crates/kitetraild/src/fleet/log_entries.rs
@@ -88,7 +88,7 @@
             started_late = *started_late, lag_ms = *lag_ms;
             "owner: backlog"
         ),
-        LogEntry::Unkept { records, ends, batch_sent_ago_ms } => log::info!(
+        LogEntry::Unpersisted { records, ends, batch_sent_ago_ms } => log::info!(
             records = *records, ends = *ends, batch_sent_ago_ms:? = *batch_sent_ago_ms;
             "owner: not kept yet"
         ),
