--- a/crates/kitetrail-core/src/jobs/event.rs
+++ b/crates/kitetrail-core/src/jobs/event.rs
@@ -18,7 +18,7 @@
 
 /// The number of a caller's request, valid until the request is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RequestNo(pub u64);
+pub struct JobRequestId(pub u64);
 
 /// An input of the scheduler.
 #[derive(Debug, Clone)]
@@ -26,7 +26,7 @@
     /// A caller submits a job.
     Submit {
         /// The request to answer.
-        request: RequestNo,
+        request: JobRequestId,
         /// The id that the caller chose.
         job: JobId,
         /// The queue that the job was submitted to.
@@ -37,16 +37,16 @@
     /// A caller cancels a job.
     Cancel {
         /// The request to answer.
-        request: RequestNo,
+        request: JobRequestId,
         /// The job.
         job: JobId,
     },
     /// The configured queues changed. Contains all queues now in force.
-    Queues(Vec<QueueTerms>),
+    QueuesChanged(Vec<QueueTerms>),
     /// The set of availability zones under evacuation changed. Contains all of them.
-    Evacuated(BTreeSet<String>),
+    EvacuatedZonesChanged(BTreeSet<String>),
     /// The list of workers changed.
-    Discovered(Vec<Discovery>),
+    WorkerListChanged(Vec<WorkerListChange>),
     /// It became known that no earlier owner renewed leases after a moment. This was unknown at the
     /// takeover.
     EarlierOwnersStopped {
@@ -54,7 +54,7 @@
         at: Time,
     },
     /// The store did not answer, or refused requests, until this moment.
-    StoreTrouble {
+    StoreUnavailable {
         /// The time at which the store answered again; the current time while it does not answer.
         until: Time,
     },
@@ -80,7 +80,7 @@
     },
     /// A poll that counted as unanswered was answered late. The ended runs in it are final; the
     /// rest of the report is out of date.
-    LateEnds {
+    LateReport {
         /// The worker instance that the poll was sent to.
         instance: InstanceNo,
         /// The incarnation that answered, if the platform reports it.
@@ -92,18 +92,18 @@
     Committed(u64),
     /// The owner's event loop ran this much later than scheduled: everything it reads and sends is
     /// delayed as long.
-    Lagged(Duration),
+    OwnerLagged(Duration),
     /// The periodic timer fired.
     Tick,
 }
 
 /// A change in the list of workers.
 #[derive(Debug, Clone)]
-pub enum Discovery {
+pub enum WorkerListChange {
     /// A worker is listed with this entry.
     Listed(Box<WorkerEntry>),
     /// A worker is no longer listed.
-    Gone {
+    Removed {
         /// The worker.
         id: WorkerName,
         /// The time since the last heartbeat in the removed entry, if known.
@@ -112,7 +112,7 @@
     /// The entry of a worker is invalid: the worker can't be used until the entry is corrected.
     Unusable(WorkerName),
     /// The list was read completely, and all listed workers have been passed on.
-    Whole,
+    Complete,
 }
 
 /// The answer to a caller who submits a job.
@@ -183,9 +183,9 @@
         records: Vec<Record>,
     },
     /// Answers a caller who submitted a job.
-    AnswerSubmit(RequestNo, SubmitAnswer),
+    AnswerSubmit(JobRequestId, SubmitAnswer),
     /// Answers a caller who cancelled a job.
-    AnswerCancel(RequestNo, CancelAnswer),
+    AnswerCancel(JobRequestId, CancelAnswer),
     /// Logs a decision.
     Log(LogEntry),
     /// A worker has seen a higher fencing token: another owner has taken over the fleet.
--- a/crates/kitetrail-core/src/jobs/job.rs
+++ b/crates/kitetrail-core/src/jobs/job.rs
@@ -8,7 +8,7 @@
 
 use super::{
     crashes::PersistedStart,
-    event::{JobState, RequestNo},
+    event::{JobRequestId, JobState},
     names::{JobId, StepName, TaskName},
     record::{JobRecord, OccurrenceProgress, Outcome, ProgressRecord},
     scheduler::tails::ImageNo,
@@ -47,8 +47,8 @@
     pub(super) occurrences: BTreeMap<u32, Occurrence>,
     /// The time by which the job should have ended, for the order within the queue.
     pub(super) due_at: Time,
-    pub(super) submit_waiters: Vec<RequestNo>,
-    pub(super) cancel_waiters: Vec<RequestNo>,
+    pub(super) submit_waiters: Vec<JobRequestId>,
+    pub(super) cancel_waiters: Vec<JobRequestId>,
     /// Whether an earlier owner may have started some of its tasks.
     pub(super) inherited: bool,
 }
--- a/crates/kitetrail-core/src/jobs/log_entry.rs
+++ b/crates/kitetrail-core/src/jobs/log_entry.rs
@@ -5,7 +5,7 @@
     event::JobState,
     names::{Incarnation, JobId, QueueName, TaskName, WorkerName},
     order::OrderAnswer,
-    report::HowEnded,
+    report::RunResult,
     spec::WorkKind,
 };
 use crate::Resources;
@@ -58,11 +58,11 @@
         /// The worker.
         worker: WorkerName,
         /// How the run ended.
-        how: HowEnded,
+        how: RunResult,
     },
     /// A worker reported the end of a run that should be running there, under an end number that
     /// was received before.
-    EndPassedOver {
+    DuplicateEndIgnored {
         /// The task.
         task: TaskName,
         /// The run.
@@ -88,7 +88,7 @@
         runs: u32,
     },
     /// A run was lost: the worker instance that it was placed on can no longer be running it.
-    RunGivenUp {
+    RunLost {
         /// The task.
         task: TaskName,
         /// The run.
@@ -104,7 +104,7 @@
         beside: u32,
     },
     /// A worker crashed while it ran a task that may be the cause.
-    CrashedUnder {
+    CrashCounted {
         /// The task.
         task: TaskName,
         /// The worker.
@@ -115,12 +115,12 @@
         crashes: u32,
     },
     /// A task whose workers had crashed has run for long enough to be no longer a suspect.
-    NoMoreSuspected {
+    SuspicionCleared {
         /// The task.
         task: TaskName,
     },
     /// A job failed because one of its tasks crashes workers.
-    CrashingTaskGivenUp {
+    CrashingTaskFailed {
         /// The task.
         task: TaskName,
         /// The workers that crashed while they ran the task, in order.
@@ -153,7 +153,7 @@
         /// The worker.
         worker: WorkerName,
         /// The new assessment.
-        belief: &'static str,
+        state: &'static str,
         /// The time since the worker's last answer, in milliseconds; `None` if it has never
         /// answered.
         last_answer_age_ms: Option<u64>,
--- a/crates/kitetrail-core/src/jobs/mod.rs
+++ b/crates/kitetrail-core/src/jobs/mod.rs
@@ -23,16 +23,18 @@
 mod worker_entry;
 
 pub use crashes::{CrashEvidence, PersistedStart, RunTimeBounds, TaskCrashes};
-pub use event::{Action, CancelAnswer, Discovery, Event, JobState, RequestNo, SubmitAnswer};
+pub use event::{
+    Action, CancelAnswer, Event, JobRequestId, JobState, SubmitAnswer, WorkerListChange,
+};
 pub use instance::InstanceNo;
 pub use log_entry::LogEntry;
 pub use names::{Incarnation, InstanceKey, InvalidName, JobId, QueueName, TaskName, WorkerName};
-pub use order::{Order, OrderAnswer, Refusal, StartOrder};
+pub use order::{Order, OrderAnswer, OrderRefusal, StartOrder};
 pub use record::{
     EffectsRecord, InstanceRecord, JobRecord, OccurrenceProgress, Outcome, ProgressRecord, Record,
     ServingEffects, StepProgress,
 };
-pub use report::{HowEnded, Poll, PollFailure, Report, RunEnd, RunningTask};
+pub use report::{Poll, PollFailure, Report, RunEnd, RunResult, RunningTask};
 pub use scheduler::{Inheritance, Scheduler, SchedulerSettings};
 pub use spec::{InvalidJob, JobSpec, QueueTerms, Schedule, StepSpec, WorkKind};
 pub use worker_entry::WorkerEntry;
--- a/crates/kitetrail-core/src/jobs/order.rs
+++ b/crates/kitetrail-core/src/jobs/order.rs
@@ -54,7 +54,7 @@
 
 /// Why a worker refused an order. A refused order has no effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refusal {
+pub enum OrderRefusal {
     /// The worker has seen a higher fencing token.
     Fenced,
     /// The worker knows a later run of the task, or this run has ended.
@@ -82,7 +82,7 @@
         incarnation: Option<Incarnation>,
     },
     /// The worker refused the order.
-    Refused(Refusal),
+    Refused(OrderRefusal),
     /// This worker instance is over.
     LifeOver,
     /// No answer arrived. The order may have been carried out, or may still be.
--- a/crates/kitetrail-core/src/jobs/report.rs
+++ b/crates/kitetrail-core/src/jobs/report.rs
@@ -66,7 +66,7 @@
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum HowEnded {
+pub enum RunResult {
     /// The work is done.
     Done,
     /// The run failed, because of the task or the worker.
@@ -91,7 +91,7 @@
     /// The run.
     pub run: u32,
     /// How the run ended.
-    pub how: HowEnded,
+    pub how: RunResult,
     /// The checkpoint that the task could continue from, if any.
     pub checkpoint: Option<String>,
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
@@ -143,7 +143,7 @@
         if task.crashes.drops_checkpoint() {
             job.drop_checkpoint(name);
         }
-        self.out.push(Action::Log(LogEntry::CrashedUnder {
+        self.out.push(Action::Log(LogEntry::CrashCounted {
             task: name,
             worker: worker.id.clone(),
             evidence: suspect.evidence,
@@ -159,7 +159,7 @@
     fn fail_crashing_job(&mut self, name: TaskName) {
         let task = self.task_mut(name);
         let workers = task.map(|task| task.crashes.workers.clone()).unwrap_or_default();
-        self.out.push(Action::Log(LogEntry::CrashingTaskGivenUp { task: name, workers }));
+        self.out.push(Action::Log(LogEntry::CrashingTaskFailed { task: name, workers }));
         self.end_job(name.job, Outcome::Failed);
     }
 
@@ -188,7 +188,7 @@
             return false;
         }
         task.crashes.clear();
-        self.out.push(Action::Log(LogEntry::NoMoreSuspected { task: name }));
+        self.out.push(Action::Log(LogEntry::SuspicionCleared { task: name }));
         self.pending.note(name.job);
         true
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/ends.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/ends.rs
@@ -9,7 +9,7 @@
         log_entry::LogEntry,
         names::TaskName,
         record::Outcome,
-        report::{HowEnded, RunEnd},
+        report::{RunEnd, RunResult},
         run::{FULL_PACE_PERCENT, Phase, PlacedRun},
         steps::Placement,
     },
@@ -31,7 +31,7 @@
         }
         instance.last_end_received = end.number;
         let ended = instance.remove_run(end.task, end.run);
-        let done = ended.as_ref().filter(|_| end.how == HowEnded::Done);
+        let done = ended.as_ref().filter(|_| end.how == RunResult::Done);
         let run_duration_ms = done.and_then(|run| run_duration_ms(run, now));
         if let Some(run) = ended.filter(|run| run.is_best_effort) {
             let cpu_millis = run.gauge.unwrap_or(run.size.cpu_millis.0);
@@ -68,9 +68,9 @@
         self.remove_placement(end.task, Placement { instance: instance_no, run: end.run });
         self.update_checkpoint(end);
         match end.how {
-            HowEnded::Done => self.complete_task(instance_no, end.task),
-            HowEnded::Failed => self.record_failed_run(instance_no, end),
-            HowEnded::Stopped | HowEnded::Lapsed | HowEnded::Broken | HowEnded::Alone => {}
+            RunResult::Done => self.complete_task(instance_no, end.task),
+            RunResult::Failed => self.record_failed_run(instance_no, end),
+            RunResult::Stopped | RunResult::Lapsed | RunResult::Broken | RunResult::Alone => {}
         }
     }
 
@@ -81,7 +81,13 @@
         if instance.runs().get(&end.task).is_some_and(|active_run| active_run.run == end.run) {
             let RunEnd { task, run, number, .. } = *end;
             let (worker, seen) = (instance.id().clone(), instance.last_end_received);
-            self.out.push(Action::Log(LogEntry::EndPassedOver { task, run, worker, number, seen }));
+            self.out.push(Action::Log(LogEntry::DuplicateEndIgnored {
+                task,
+                run,
+                worker,
+                number,
+                seen,
+            }));
         }
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/mod.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/mod.rs
@@ -186,22 +186,22 @@
         match event {
             Event::Submit { request, job, queue, spec } => self.submit(request, job, queue, *spec),
             Event::Cancel { request, job } => self.cancel(request, job),
-            Event::Queues(queues) => self.update_queues(queues),
-            Event::Evacuated(zones) => self.set_evacuated_zones(zones),
-            Event::Discovered(changes) => self.handle_discovery(changes),
+            Event::QueuesChanged(queues) => self.update_queues(queues),
+            Event::EvacuatedZonesChanged(zones) => self.set_evacuated_zones(zones),
+            Event::WorkerListChanged(changes) => self.handle_discovery(changes),
             Event::EarlierOwnersStopped { at } => self.handle_earlier_owners_stopped(at),
-            Event::StoreTrouble { until } => self.record_store_outage(until),
+            Event::StoreUnavailable { until } => self.record_store_outage(until),
             Event::OrderAnswered { instance, order, answer } => {
                 self.handle_order_answer(instance, order, answer)
             }
             Event::PollAnswered { instance, poll, sent_at, answer } => {
                 self.handle_poll_answer(instance, poll, sent_at, answer)
             }
-            Event::LateEnds { instance, incarnation, ended } => {
+            Event::LateReport { instance, incarnation, ended } => {
                 self.handle_late_ends(instance, incarnation, &ended)
             }
             Event::Committed(batch) => self.handle_committed(batch),
-            Event::Lagged(lag) => self.note_lag(lag),
+            Event::OwnerLagged(lag) => self.note_lag(lag),
             Event::Tick => self.tick(),
         }
         self.place_jobs_if_due();
@@ -288,11 +288,11 @@
     }
 
     /// Logs the current assumption about a worker's state.
-    fn log_worker_state(&mut self, instance_no: InstanceNo, belief: &'static str) {
+    fn log_worker_state(&mut self, instance_no: InstanceNo, state: &'static str) {
         let Some(instance) = self.instances.get(instance_no) else { return };
         let worker = instance.id().clone();
         let last_answer_age_ms = instance.last_answer_age_ms(self.now);
-        self.out.push(Action::Log(LogEntry::Worker { worker, belief, last_answer_age_ms }));
+        self.out.push(Action::Log(LogEntry::Worker { worker, state, last_answer_age_ms }));
     }
 
     /// Returns the fencing token that a worker incarnation starts with under this owner.
--- a/crates/kitetrail-core/src/jobs/scheduler/orders.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/orders.rs
@@ -8,7 +8,7 @@
         instance::{InstanceEnd, InstanceNo, Leasing, Listing, SentOrder},
         log_entry::LogEntry,
         names::TaskName,
-        order::{Order, OrderAnswer, Refusal},
+        order::{Order, OrderAnswer, OrderRefusal},
         run::{Phase, UNKNOWN_PACE_PERCENT},
         steps::Placement,
     },
@@ -217,7 +217,7 @@
         let (run, worker) = (run_state.run, instance.id().clone());
         let ran_ms = instance.confirmed_run_time(run_state).map(|ran| ran.as_millis() as u64);
         let beside = instance.runs().len().saturating_sub(1) as u32;
-        self.out.push(Action::Log(LogEntry::RunGivenUp { task, run, worker, why, ran_ms, beside }));
+        self.out.push(Action::Log(LogEntry::RunLost { task, run, worker, why, ran_ms, beside }));
     }
 
     /// Handles an order without an answer: it may have been executed, or may be later.
@@ -255,7 +255,12 @@
     }
 
     /// Handles a refusal: the worker has not executed the order.
-    fn handle_refused_order(&mut self, instance_no: InstanceNo, order: &Order, refusal: Refusal) {
+    fn handle_refused_order(
+        &mut self,
+        instance_no: InstanceNo,
+        order: &Order,
+        refusal: OrderRefusal,
+    ) {
         let (task, run) = order.run();
         match order {
             Order::Start(_) => self.drop_run(instance_no, task, run),
@@ -267,10 +272,10 @@
             }
         }
         match refusal {
-            Refusal::Fenced => self.handle_fenced_order(instance_no),
-            Refusal::Unhealthy => self.quarantine_unhealthy(instance_no),
-            Refusal::Malformed => self.delay_task(task, self.now + MALFORMED_ORDER_BACKOFF),
-            Refusal::Old | Refusal::Late | Refusal::Room | Refusal::Ticket => {}
+            OrderRefusal::Fenced => self.handle_fenced_order(instance_no),
+            OrderRefusal::Unhealthy => self.quarantine_unhealthy(instance_no),
+            OrderRefusal::Malformed => self.delay_task(task, self.now + MALFORMED_ORDER_BACKOFF),
+            OrderRefusal::Old | OrderRefusal::Late | OrderRefusal::Room | OrderRefusal::Ticket => {}
         }
         // The worker's state differs from the expected one, so it is polled at once.
         self.schedule_poll_within(instance_no, Duration::ZERO);
--- a/crates/kitetrail-core/src/jobs/scheduler/requests.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/requests.rs
@@ -3,7 +3,7 @@
 
 use super::{
     super::{
-        event::{Action, CancelAnswer, JobState, RequestNo, SubmitAnswer},
+        event::{Action, CancelAnswer, JobRequestId, JobState, SubmitAnswer},
         job::Job,
         log_entry::LogEntry,
         names::JobId,
@@ -17,7 +17,7 @@
     /// Accepts a new job, or answers that it is already known or that it can't be accepted.
     pub(super) fn submit(
         &mut self,
-        request: RequestNo,
+        request: JobRequestId,
         id: JobId,
         queue: QueueTerms,
         spec: JobSpec,
@@ -56,7 +56,7 @@
     }
 
     /// Cancels a job. The caller is answered once that is persisted.
-    pub(super) fn cancel(&mut self, request: RequestNo, id: JobId) {
+    pub(super) fn cancel(&mut self, request: JobRequestId, id: JobId) {
         match self.jobs.get_mut(&id) {
             None if self.ended_jobs.contains_key(&id) => {
                 self.out.push(Action::AnswerCancel(request, CancelAnswer::Done));
--- a/crates/kitetrail-core/src/jobs/scheduler/unlisted.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/unlisted.rs
@@ -71,9 +71,7 @@
         let draining =
             self.instances.get(instance_no).is_some_and(|instance| instance.entry.draining);
         let max_unavailable = self.step_spec(task).and_then(|spec| spec.max_unavailable);
-        draining
-            || max_unavailable
-                .is_none_or(|max_unavailable| self.others_missing(task) < max_unavailable as usize)
+        draining || max_unavailable.is_none_or(|limit| self.others_missing(task) < limit as usize)
     }
 
     /// Returns what the removal of an entry at this moment means.
@@ -96,11 +94,11 @@
     fn mark_unlisted(&mut self, instance_no: InstanceNo, listing: Listing) {
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
         instance.listing = listing;
-        let belief = match listing {
+        let state = match listing {
             Listing::Expired => "not listed: its heartbeats stopped",
             _ => "not listed",
         };
-        self.log_worker_state(instance_no, belief);
+        self.log_worker_state(instance_no, state);
         self.schedule_poll_within(instance_no, Duration::ZERO);
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/workers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/workers.rs
@@ -4,7 +4,7 @@
 
 use super::{
     super::{
-        event::Discovery,
+        event::WorkerListChange,
         instance::{InstanceEnd, InstanceNo, Listing, WorkerInstance},
         report::Report,
         run::PlacedRun,
@@ -26,19 +26,19 @@
 
 impl Scheduler {
     /// Handles changes in the list of workers.
-    pub(super) fn handle_discovery(&mut self, changes: Vec<Discovery>) {
+    pub(super) fn handle_discovery(&mut self, changes: Vec<WorkerListChange>) {
         for change in changes {
             match change {
-                Discovery::Listed(entry) if self.has_unused_service(&entry) => {
+                WorkerListChange::Listed(entry) if self.has_unused_service(&entry) => {
                     self.handle_unused_service(*entry)
                 }
-                Discovery::Listed(entry) => self.handle_listed_entry(*entry),
-                Discovery::Unusable(id) => self.handle_unusable_entry(&id),
-                Discovery::Gone { id, silent_for } => {
+                WorkerListChange::Listed(entry) => self.handle_listed_entry(*entry),
+                WorkerListChange::Unusable(id) => self.handle_unusable_entry(&id),
+                WorkerListChange::Removed { id, silent_for } => {
                     self.unused_service_entries.remove(&id);
                     self.handle_unlisted(&id, silent_for);
                 }
-                Discovery::Whole => self.mark_unread_unlisted(),
+                WorkerListChange::Complete => self.mark_unread_unlisted(),
             }
         }
         self.placement_needed = true;
@@ -152,7 +152,7 @@
         entry.draining |= instance.entry.draining;
         entry.incarnation = instance.entry.incarnation;
         let was_listed = instance.listing == Listing::Listed;
-        let belief = match (entry.draining && !instance.entry.draining, was_listed) {
+        let state = match (entry.draining && !instance.entry.draining, was_listed) {
             (true, _) => Some("draining"),
             (false, false) => Some("listed again"),
             (false, true) => None,
@@ -166,8 +166,8 @@
         if shrank {
             self.take_back_unfit(instance_no);
         }
-        if let Some(belief) = belief {
-            self.log_worker_state(instance_no, belief);
+        if let Some(state) = state {
+            self.log_worker_state(instance_no, state);
         }
     }
 
--- a/crates/kitetrail-core/tests/fleet/crashes.rs
+++ b/crates/kitetrail-core/tests/fleet/crashes.rs
@@ -4,7 +4,7 @@
 
 use kitetrail_core::{
     Time,
-    jobs::{Discovery, Event, LogEntry, TaskName},
+    jobs::{Event, LogEntry, TaskName, WorkerListChange},
 };
 
 use super::{Mood, World};
@@ -83,7 +83,7 @@
 
     /// Returns the number of crashes that the scheduler counted against tasks.
     pub fn crashes_noticed(&self) -> usize {
-        let is_crash = |entry: &LogEntry| matches!(entry, LogEntry::CrashedUnder { .. });
+        let is_crash = |entry: &LogEntry| matches!(entry, LogEntry::CrashCounted { .. });
         self.log_entries.iter().filter(|(_, entry)| is_crash(entry)).count()
     }
 
@@ -111,8 +111,8 @@
                 continue;
             }
             let silent_for = Some(LAPSE_DELAY);
-            let gone = Discovery::Gone { id: id.as_str().into(), silent_for };
-            self.tell(Event::Discovered(vec![gone]));
+            let gone = WorkerListChange::Removed { id: id.as_str().into(), silent_for };
+            self.tell(Event::WorkerListChanged(vec![gone]));
         }
     }
 
--- a/crates/kitetrail-core/tests/fleet/listing.rs
+++ b/crates/kitetrail-core/tests/fleet/listing.rs
@@ -4,7 +4,7 @@
 
 use kitetrail_core::{
     CpuMillis, Resources,
-    jobs::{Discovery, Event, WorkerEntry},
+    jobs::{Event, WorkerEntry, WorkerListChange},
 };
 
 use super::{FakeWorker, World};
@@ -17,9 +17,9 @@
 impl World {
     /// Sends the entries of all listed workers to the scheduler.
     pub fn list_all(&mut self) {
-        let entry = |worker: &FakeWorker| Discovery::Listed(Box::new(worker.entry.clone()));
+        let entry = |worker: &FakeWorker| WorkerListChange::Listed(Box::new(worker.entry.clone()));
         let all = self.workers.values().filter(|worker| !worker.gone).map(entry).collect();
-        self.tell(Event::Discovered(all));
+        self.tell(Event::WorkerListChanged(all));
     }
 
     /// Replaces a worker with a new life on the same machine under another id, as after a crash. Returns the
@@ -34,7 +34,7 @@
 
     /// Reports to the scheduler that a worker's entry was listed or changed.
     pub fn list(&mut self, entry: WorkerEntry) {
-        self.tell(Event::Discovered(vec![Discovery::Listed(Box::new(entry))]));
+        self.tell(Event::WorkerListChanged(vec![WorkerListChange::Listed(Box::new(entry))]));
     }
 
     /// Changes the cores of a worker, in thousandths, and its entry in the list.
@@ -50,7 +50,7 @@
 
     /// Reports to the scheduler that a worker's entry is unusable.
     pub fn list_unusable(&mut self, id: &str) {
-        self.tell(Event::Discovered(vec![Discovery::Unusable(id.into())]));
+        self.tell(Event::WorkerListChanged(vec![WorkerListChange::Unusable(id.into())]));
     }
 
     /// Reports to the scheduler that a worker withdrew its entry between two heartbeats.
@@ -65,8 +65,8 @@
 
     fn unlist_after(&mut self, id: &str, silent_for: Duration) {
         self.worker(id).gone = true;
-        let gone = Discovery::Gone { id: id.into(), silent_for: Some(silent_for) };
-        self.tell(Event::Discovered(vec![gone]));
+        let gone = WorkerListChange::Removed { id: id.into(), silent_for: Some(silent_for) };
+        self.tell(Event::WorkerListChanged(vec![gone]));
     }
 
     /// Reports to the scheduler that a worker's entry is listed again.
@@ -78,6 +78,6 @@
 
     /// Reports to the scheduler that the store is in trouble, or was until now.
     pub fn trouble_store(&mut self) {
-        self.tell(Event::StoreTrouble { until: self.now });
+        self.tell(Event::StoreUnavailable { until: self.now });
     }
 }
--- a/crates/kitetrail-core/tests/fleet/mod.rs
+++ b/crates/kitetrail-core/tests/fleet/mod.rs
@@ -19,9 +19,9 @@
 use kitetrail_core::{
     Time,
     jobs::{
-        Action, EffectsRecord, Event, HowEnded, Inheritance, InstanceNo, InstanceRecord, JobId,
-        JobRecord, JobSpec, JobState, LogEntry, Order, OrderAnswer, Outcome, Poll, PollFailure,
-        ProgressRecord, Record, RequestNo, Scheduler, SubmitAnswer, TaskName, WorkerEntry,
+        Action, EffectsRecord, Event, Inheritance, InstanceNo, InstanceRecord, JobId, JobRecord,
+        JobRequestId, JobSpec, JobState, LogEntry, Order, OrderAnswer, Outcome, Poll, PollFailure,
+        ProgressRecord, Record, RunResult, Scheduler, SubmitAnswer, TaskName, WorkerEntry,
     },
 };
 
@@ -108,7 +108,7 @@
     next_request: u64,
     specs: BTreeMap<JobId, JobSpec>,
     /// The jobs submitted by requests.
-    submitted_jobs: BTreeMap<RequestNo, JobId>,
+    submitted_jobs: BTreeMap<JobRequestId, JobId>,
 }
 
 impl World {
@@ -166,7 +166,7 @@
     }
 
     /// Submits a job.
-    pub fn submit(&mut self, id: u64, spec: JobSpec) -> RequestNo {
+    pub fn submit(&mut self, id: u64, spec: JobSpec) -> JobRequestId {
         let request = self.request();
         if self.state(id).is_none() {
             self.acknowledged_ends.remove_job(JobId(id));
@@ -179,7 +179,7 @@
     }
 
     /// Cancels a job.
-    pub fn cancel(&mut self, id: u64) -> RequestNo {
+    pub fn cancel(&mut self, id: u64) -> JobRequestId {
         let request = self.request();
         self.tell(Event::Cancel { request, job: JobId(id) });
         request
@@ -206,7 +206,7 @@
     }
 
     /// Returns when a request was answered.
-    pub fn answered(&self, request: RequestNo) -> Option<Time> {
+    pub fn answered(&self, request: JobRequestId) -> Option<Time> {
         let answers_request = |action: &Action| match action {
             Action::AnswerSubmit(no, _) | Action::AnswerCancel(no, _) => *no == request,
             _ => false,
@@ -215,7 +215,7 @@
     }
 
     /// Returns whether a submission was refused, `None` if it has no answer yet.
-    pub fn refused(&self, request: RequestNo) -> Option<bool> {
+    pub fn refused(&self, request: JobRequestId) -> Option<bool> {
         self.answers.iter().find_map(|(_, action)| match action {
             Action::AnswerSubmit(no, answer) if *no == request => {
                 Some(*answer == SubmitAnswer::Refused)
@@ -308,9 +308,9 @@
         }
     }
 
-    fn request(&mut self) -> RequestNo {
+    fn request(&mut self) -> JobRequestId {
         self.next_request += 1;
-        RequestNo(self.next_request)
+        JobRequestId(self.next_request)
     }
 
     /// Performs an action of the scheduler.
@@ -431,7 +431,8 @@
     /// Panics if an end is acknowledged to a worker that is not stored.
     fn check_acknowledged_are_stored(&self, id: &str, last_acknowledged: u64) {
         let ends = self.workers.get(id).into_iter().flat_map(|worker| &worker.ended);
-        for end in ends.filter(|end| end.number <= last_acknowledged && end.how == HowEnded::Done) {
+        for end in ends.filter(|end| end.number <= last_acknowledged && end.how == RunResult::Done)
+        {
             let name = end.task;
             if self.work_of(name).is_long_running {
                 // A long-running task runs until its job is cancelled, so its end changes nothing.
@@ -480,7 +481,7 @@
             }
             if let Some((_, instance, ended)) = worker.late_ends.take_if(|(at, ..)| *at <= now) {
                 let incarnation = worker.entry.incarnation;
-                answers.push(Event::LateEnds { instance, incarnation, ended });
+                answers.push(Event::LateReport { instance, incarnation, ended });
             }
             let open_polls =
                 mem::take(&mut worker.earlier_polls).into_iter().chain(worker.open_poll.take());
--- a/crates/kitetrail-core/tests/fleet/processor.rs
+++ b/crates/kitetrail-core/tests/fleet/processor.rs
@@ -88,7 +88,7 @@
         self.longest_lag = self.longest_lag.max(lag);
         self.last_tick_at = now;
         self.tick_is_next = true;
-        Some(Event::Lagged(if self.told_its_lag { lag } else { Duration::ZERO }))
+        Some(Event::OwnerLagged(if self.told_its_lag { lag } else { Duration::ZERO }))
     }
 }
 
--- a/crates/kitetrail-core/tests/fleet/restarts.rs
+++ b/crates/kitetrail-core/tests/fleet/restarts.rs
@@ -4,7 +4,7 @@
 
 use kitetrail_core::{
     Time,
-    jobs::{HowEnded, Incarnation, JobId, TaskName, WorkerEntry},
+    jobs::{Incarnation, JobId, RunResult, TaskName, WorkerEntry},
 };
 
 use super::{DAY_UNIX_MS, FakeWorker, World, queue};
@@ -78,9 +78,9 @@
             self.workers.values_mut().flat_map(|worker| worker.acknowledged_ends.drain(..));
         for (at, end) in acknowledged.collect::<Vec<_>>() {
             match end.how {
-                HowEnded::Done => self.record_done(end.task, at),
-                HowEnded::Failed => self.record_failed(end.task, at),
-                HowEnded::Stopped | HowEnded::Lapsed | HowEnded::Broken | HowEnded::Alone => {}
+                RunResult::Done => self.record_done(end.task, at),
+                RunResult::Failed => self.record_failed(end.task, at),
+                RunResult::Stopped | RunResult::Lapsed | RunResult::Broken | RunResult::Alone => {}
             }
         }
         for index in self.acknowledged_ends.checked_starts..self.starts.len() {
--- a/crates/kitetrail-core/tests/fleet/worker.rs
+++ b/crates/kitetrail-core/tests/fleet/worker.rs
@@ -9,7 +9,7 @@
 use kitetrail_core::{
     Resources, Time,
     jobs::{
-        HowEnded, InstanceNo, Order, OrderAnswer, Poll, PollFailure, Refusal, Report, RunEnd,
+        InstanceNo, Order, OrderAnswer, OrderRefusal, Poll, PollFailure, Report, RunEnd, RunResult,
         RunningTask, StartOrder, TaskName, WorkerEntry,
     },
 };
@@ -236,13 +236,13 @@
         work: Work,
     ) -> OrderAnswer {
         if token < self.token {
-            return OrderAnswer::Refused(Refusal::Fenced);
+            return OrderAnswer::Refused(OrderRefusal::Fenced);
         }
         self.token = token;
         let clock_ms = self.clock_ms(now);
         match order {
             Order::Start(_) if lease_until_ms <= clock_ms => {
-                return OrderAnswer::Refused(Refusal::Late);
+                return OrderAnswer::Refused(OrderRefusal::Late);
             }
             Order::Start(start) => {
                 self.lease(now, lease_until_ms);
@@ -251,7 +251,7 @@
             }
             Order::Stop { task, run } => {
                 if self.running.get(task).is_some_and(|running| running.run == *run) {
-                    self.end(now, *task, HowEnded::Stopped);
+                    self.end(now, *task, RunResult::Stopped);
                 }
             }
             Order::Pace { task, percent, .. } => {
@@ -382,7 +382,7 @@
         }
         if !self.running.is_empty() && lapsed {
             for task in self.running.keys().copied().collect::<Vec<_>>() {
-                self.end(now, task, HowEnded::Lapsed);
+                self.end(now, task, RunResult::Lapsed);
             }
         }
         let mood = self.mood;
@@ -395,9 +395,9 @@
             running.waited_ms += STEP.as_millis() as u64;
         }
         let ended_runs = self.running.iter().filter_map(|(&task, running)| match mood {
-            _ if running.waited_ms >= GANG_TIMEOUT_MS => Some((task, HowEnded::Alone)),
-            Mood::Failing if running.done_ms >= FAILS_AFTER_MS => Some((task, HowEnded::Failed)),
-            _ if running.done_ms >= running.work_ms => Some((task, HowEnded::Done)),
+            _ if running.waited_ms >= GANG_TIMEOUT_MS => Some((task, RunResult::Alone)),
+            Mood::Failing if running.done_ms >= FAILS_AFTER_MS => Some((task, RunResult::Failed)),
+            _ if running.done_ms >= running.work_ms => Some((task, RunResult::Done)),
             _ => None,
         });
         for (task, how) in ended_runs.collect::<Vec<_>>() {
@@ -410,16 +410,16 @@
         let is_member = |task: &TaskName| TaskName { index: lost.index, ..*task } == lost;
         let members = self.running.keys().copied().filter(is_member);
         for task in members.collect::<Vec<_>>() {
-            self.end(now, task, HowEnded::Broken);
+            self.end(now, task, RunResult::Broken);
         }
     }
 
     /// Ends a run.
-    fn end(&mut self, now: Time, task: TaskName, how: HowEnded) {
+    fn end(&mut self, now: Time, task: TaskName, how: RunResult) {
         let Some(running) = self.running.remove(&task) else { return };
         match how {
-            HowEnded::Done => self.done.push(task),
-            HowEnded::Lapsed => self.lapsed += 1,
+            RunResult::Done => self.done.push(task),
+            RunResult::Lapsed => self.lapsed += 1,
             _ => {}
         }
         let checkpoint = Some(format!("{task}@{}", running.done_ms));
--- a/crates/kitetrail-core/tests/jobs.rs
+++ b/crates/kitetrail-core/tests/jobs.rs
@@ -9,7 +9,9 @@
 use fleet::{DAY_UNIX_MS, Mood, TOKEN_OF_LATER_OWNER, World, job, step, task};
 use kitetrail_core::{
     Resources,
-    jobs::{Discovery, Event, InvalidJob, JobState, LogEntry, Schedule, StepProgress, StepSpec},
+    jobs::{
+        Event, InvalidJob, JobState, LogEntry, Schedule, StepProgress, StepSpec, WorkerListChange,
+    },
 };
 
 #[test]
@@ -131,7 +133,7 @@
         world.run_ms(150);
     }
     let is_quarantine = |(_, entry): &(_, LogEntry)| {
-        matches!(entry, LogEntry::Worker { belief: "set aside: its runs fail", .. })
+        matches!(entry, LogEntry::Worker { state: "set aside: its runs fail", .. })
     };
     assert!(world.log_entries.iter().any(is_quarantine));
     let starts = world.starts.iter().filter(|(.., worker)| worker == "w0").count();
@@ -355,7 +357,7 @@
     let worker = world.worker(&draining);
     worker.entry.draining = true;
     let entry = Box::new(worker.entry.clone());
-    world.tell(Event::Discovered(vec![Discovery::Listed(entry)]));
+    world.tell(Event::WorkerListChanged(vec![WorkerListChange::Listed(entry)]));
     world.run_ms(1_500);
     assert_ne!(world.where_runs(task(1, 0, 0)), [draining.as_str()]);
     assert_eq!(world.starts.len(), 2);
@@ -448,7 +450,7 @@
     let worker = world.worker("w0");
     worker.entry.draining = true;
     let entry = Box::new(worker.entry.clone());
-    world.tell(Event::Discovered(vec![Discovery::Listed(entry)]));
+    world.tell(Event::WorkerListChanged(vec![WorkerListChange::Listed(entry)]));
     world.set_moods(Mood::Well);
     world.run_ms(3_000);
     assert!(world.starts.is_empty(), "{:?}", world.starts);
--- a/crates/kitetrail-core/tests/jobs_evacuation.rs
+++ b/crates/kitetrail-core/tests/jobs_evacuation.rs
@@ -20,10 +20,10 @@
 /// Returns a fleet whose workers are alternately in zones a and b.
 fn two_zones(workers: u32) -> World {
     let mut world = World::new(0);
-    for instance_no in 0..workers {
-        let mut worker = fleet::FakeWorker::new(instance_no);
-        worker.entry.zone = zone_of(instance_no).to_owned();
-        world.workers.insert(format!("w{instance_no}"), worker);
+    for worker_no in 0..workers {
+        let mut worker = fleet::FakeWorker::new(worker_no);
+        worker.entry.zone = zone_of(worker_no).to_owned();
+        world.workers.insert(format!("w{worker_no}"), worker);
     }
     world.list_all();
     world.run_ms(200);
@@ -36,7 +36,7 @@
 
 fn evacuate(world: &mut World, zones: &[&str]) {
     let zones = zones.iter().map(|&zone| zone.to_owned()).collect::<BTreeSet<_>>();
-    world.tell(Event::Evacuated(zones));
+    world.tell(Event::EvacuatedZonesChanged(zones));
 }
 
 /// Returns the number of starts in a zone so far.
@@ -96,7 +96,7 @@
     world.run_ms(300);
     evacuate(&mut world, &["a"]);
     let before = start_count(&world, "a");
-    world.take_over_with(2, true, Event::Evacuated(["a".to_owned()].into()));
+    world.take_over_with(2, true, Event::EvacuatedZonesChanged(["a".to_owned()].into()));
     world.run_until("the job completes", |world| is_completed(world, 1));
     assert_eq!(start_count(&world, "a"), before);
 }
@@ -160,9 +160,9 @@
 #[test]
 fn tasks_near_a_rack_in_an_evacuated_zone_go_to_another_zone() {
     let mut world = two_zones(4);
-    for instance_no in 0..4 {
-        let worker = world.worker(&format!("w{instance_no}"));
-        worker.entry.rack = format!("r-{}", zone_of(instance_no));
+    for worker_no in 0..4 {
+        let worker = world.worker(&format!("w{worker_no}"));
+        worker.entry.rack = format!("r-{}", zone_of(worker_no));
         worker.entry.labels = vec!["plain".to_owned(), worker.entry.rack.clone()];
     }
     world.list_all();
@@ -331,7 +331,7 @@
         4 => any::<[bool; 2]>().prop_map(Operation::Evacuate),
         1 => any::<bool>().prop_map(|stopped| Operation::TakeOver { stopped }),
         1 => (0..6_u32).prop_map(Operation::Crash),
-        1 => (0..6_u32, mood).prop_map(|(instance_no, mood)| Operation::Mood(instance_no, mood)),
+        1 => (0..6_u32, mood).prop_map(|(worker_no, mood)| Operation::Mood(worker_no, mood)),
         4 => submit.prop_map(|(tasks, long_running, copies_allowed, keeps_progress)| {
             Operation::Submit { tasks, long_running, copies_allowed, keeps_progress }
         }),
@@ -357,22 +357,22 @@
                     .filter(|(_, is_wanted)| *is_wanted)
                     .map(|(zone, _)| zone.to_owned())
                     .collect();
-                self.world.tell(Event::Evacuated(self.evacuated.clone()));
+                self.world.tell(Event::EvacuatedZonesChanged(self.evacuated.clone()));
             }
             Operation::TakeOver { stopped } => {
                 self.epoch += 1;
-                let event = Event::Evacuated(self.evacuated.clone());
+                let event = Event::EvacuatedZonesChanged(self.evacuated.clone());
                 self.world.take_over_with(self.epoch, stopped, event);
             }
-            Operation::Crash(instance_no) => {
-                let id = self.world.workers.keys().nth(instance_no as usize).unwrap().clone();
+            Operation::Crash(worker_no) => {
+                let id = self.world.workers.keys().nth(worker_no as usize).unwrap().clone();
                 self.restarts += 1;
                 let new_id = format!("x{}", self.restarts);
                 self.world.reborn(&id, &new_id);
                 self.world.list_all();
             }
-            Operation::Mood(instance_no, mood) => {
-                let id = self.world.workers.keys().nth(instance_no as usize).unwrap().clone();
+            Operation::Mood(worker_no, mood) => {
+                let id = self.world.workers.keys().nth(worker_no as usize).unwrap().clone();
                 self.world.worker(&id).mood = mood;
             }
             Operation::Submit { tasks, long_running, copies_allowed, keeps_progress } => {
--- a/crates/kitetrail-core/tests/jobs_incarnations.rs
+++ b/crates/kitetrail-core/tests/jobs_incarnations.rs
@@ -6,7 +6,7 @@
 use fleet::{World, job, step, task};
 use kitetrail_core::{
     Resources,
-    jobs::{Discovery, Event, JobState, Report, StepSpec, WorkerEntry},
+    jobs::{Event, JobState, Report, StepSpec, WorkerEntry, WorkerListChange},
 };
 
 /// Returns a step whose tasks take a whole worker each.
@@ -84,11 +84,11 @@
         world.run_ms(300);
         world.submit(1, job(vec![whole_worker_step(2)]));
         world.run_until("both workers are taken", |world| world.starts.len() == 2);
-        let mut changes = vec![Discovery::Listed(Box::new(stale))];
+        let mut changes = vec![WorkerListChange::Listed(Box::new(stale))];
         let current = world.worker("w0-again").entry.clone();
-        changes.insert(usize::from(stale_first), Discovery::Listed(Box::new(current)));
+        changes.insert(usize::from(stale_first), WorkerListChange::Listed(Box::new(current)));
         world.take_over(2, true);
-        world.tell(Event::Discovered(changes));
+        world.tell(Event::WorkerListChanged(changes));
         world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
         assert_eq!(
             world.starts.len(),
--- a/crates/kitetrail-core/tests/jobs_overload.rs
+++ b/crates/kitetrail-core/tests/jobs_overload.rs
@@ -8,7 +8,7 @@
 use fleet::{Mood, Processor, World, job, step, task};
 use kitetrail_core::{
     Resources, Time,
-    jobs::{Event, JobState, RequestNo, StepSpec},
+    jobs::{Event, JobRequestId, JobState, StepSpec},
 };
 
 /// The number of workers, each of which runs about two tasks at a time.
@@ -25,7 +25,7 @@
 /// A submitted job.
 struct SubmittedJob {
     id: u64,
-    request: RequestNo,
+    request: JobRequestId,
     at: Time,
 }
 
@@ -206,7 +206,7 @@
 /// Runs the world for `ms` with an owner that lags all the time.
 fn run_with_lag_ms(world: &mut World, lag: Duration, ms: u64) {
     for _ in 0..ms / 10 {
-        world.tell(Event::Lagged(lag));
+        world.tell(Event::OwnerLagged(lag));
         world.run_ms(10);
     }
 }
@@ -256,7 +256,7 @@
     let busy = world.workers.values_mut().filter(|worker| !worker.running.is_empty());
     busy.for_each(|worker| worker.mood = Mood::Unread);
     for _ in 0..600 {
-        world.tell(Event::Lagged(lag));
+        world.tell(Event::OwnerLagged(lag));
         world.run_ms(10);
         world.workers.values_mut().for_each(|worker| worker.late_ends = None);
     }
--- a/crates/kitetrail-core/tests/jobs_restarted.rs
+++ b/crates/kitetrail-core/tests/jobs_restarted.rs
@@ -175,7 +175,7 @@
     world.restart(&worker_id);
     world.list_all();
     // The late answer of the previous incarnation is read before the next one has answered.
-    world.tell(Event::LateEnds { instance, incarnation: before, ended });
+    world.tell(Event::LateReport { instance, incarnation: before, ended });
     world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
     assert_eq!(world.starts.len(), 1, "the completed task is not started again");
     let _ = (poll, sent_at);
@@ -362,7 +362,7 @@
             world.run_ms(110);
         }
         world.run_ms(5_000);
-        let is_clock_entry = |entry: &LogEntry| matches!(entry, LogEntry::Worker { belief, .. } if belief.contains("clock"));
+        let is_clock_entry = |entry: &LogEntry| matches!(entry, LogEntry::Worker { state, .. } if state.contains("clock"));
         let clock_entries =
             world.log_entries.iter().filter(|(_, entry)| is_clock_entry(entry)).count();
         assert_eq!(clock_entries, 0, "{answers_take_ms} ms");
@@ -449,7 +449,7 @@
 /// causes crashes can't be distinguished from one that was running by chance during three of them (seed 103).
 fn failed_for_three_crashes(world: &World, id: u64) -> bool {
     let is_job_failure = |entry: &LogEntry| match entry {
-        LogEntry::CrashingTaskGivenUp { task, workers } => {
+        LogEntry::CrashingTaskFailed { task, workers } => {
             task.job == JobId(id) && workers.len() >= 3
         }
         _ => false,
--- a/crates/kitetrail-core/tests/jobs_shrinking.rs
+++ b/crates/kitetrail-core/tests/jobs_shrinking.rs
@@ -115,8 +115,8 @@
             world.run_ms(rng.random_range(10..900));
         }
         world.set_moods(Mood::Well);
-        for instance_no in 0..6 {
-            world.set_cores(&format!("w{instance_no}"), 4_000);
+        for worker_no in 0..6 {
+            world.set_cores(&format!("w{worker_no}"), 4_000);
         }
         world.run_ms(30_000);
         assert_eq!(world.state(500), Some(JobState::Running), "seed {seed}");
--- a/crates/kitetrail-core/tests/jobs_unlisted.rs
+++ b/crates/kitetrail-core/tests/jobs_unlisted.rs
@@ -5,7 +5,7 @@
 mod fleet;
 
 use fleet::{FakeWorker, Mood, World, job, step, task};
-use kitetrail_core::jobs::{Discovery, Event, JobId, JobState, StepSpec};
+use kitetrail_core::jobs::{Event, JobId, JobState, StepSpec, WorkerListChange};
 
 /// The minimum time that a worker keeps running after its entry is gone, in milliseconds.
 const DRAIN_MS: u64 = 2_000;
@@ -168,7 +168,7 @@
         [worker_id.as_str()],
         "the list was not read completely yet"
     );
-    world.tell(Event::Discovered(vec![Discovery::Whole]));
+    world.tell(Event::WorkerListChanged(vec![WorkerListChange::Complete]));
     world.run_ms(DRAIN_MS / 2);
     assert_ne!(world.where_runs(task(1, 0, 0)), [worker_id.as_str()]);
 }
@@ -179,7 +179,7 @@
     world.worker(&worker_id).gone = true;
     world.take_over(2, true);
     world.trouble_store();
-    world.tell(Event::Discovered(vec![Discovery::Whole]));
+    world.tell(Event::WorkerListChanged(vec![WorkerListChange::Complete]));
     world.run_ms(1_900);
     world.relist(&worker_id);
     world.run_ms(5_000);
--- a/crates/kitetrail-core/tests/jobs_unusable.rs
+++ b/crates/kitetrail-core/tests/jobs_unusable.rs
@@ -91,7 +91,7 @@
 #[test]
 fn a_worker_of_an_unused_service_is_not_polled_until_a_queue_uses_the_service() {
     let mut world = World::new(1);
-    world.tell(Event::Queues(vec![queue()]));
+    world.tell(Event::QueuesChanged(vec![queue()]));
     let entry = world.worker("w0").entry.clone();
     let unused_entry = WorkerEntry {
         id: "w9".into(),
@@ -106,7 +106,7 @@
     assert_eq!((world.polls_of("w9"), polls), (0, 0), "the worker is not polled");
     assert!(!world.instances.contains_key("w9"), "nothing is persisted about the worker");
     let other_queue = QueueTerms { name: "more".into(), service: "nowhere".to_owned(), ..queue() };
-    world.tell(Event::Queues(vec![queue(), other_queue]));
+    world.tell(Event::QueuesChanged(vec![queue(), other_queue]));
     world.run_ms(3_000);
     assert!(world.polls_of("w9") > 0);
 }
@@ -114,7 +114,7 @@
 #[test]
 fn a_worker_whose_entry_names_another_service_keeps_its_runs() {
     let mut world = World::new(2);
-    world.tell(Event::Queues(vec![queue()]));
+    world.tell(Event::QueuesChanged(vec![queue()]));
     world.submit(1, job(vec![long_running_step(2)]));
     world.run_until("both tasks run", |world| world.starts.len() == 2);
     let id = world.worker_of(task(1, 0, 0));
--- a/crates/kitetraild/src/fleet/log_entries.rs
+++ b/crates/kitetraild/src/fleet/log_entries.rs
@@ -24,7 +24,7 @@
             how:? = *how;
             "run: ended"
         ),
-        LogEntry::EndPassedOver { task, run, worker, number, seen } => log::warn!(
+        LogEntry::DuplicateEndIgnored { task, run, worker, number, seen } => log::warn!(
             job = task.job.to_string(), task = task_path(task), run = *run, worker = worker.as_str(),
             number = *number, seen = *seen;
             "run: end ignored, its number was already reported"
@@ -34,21 +34,21 @@
             ends_seen = *ends_seen, runs = *runs;
             "worker: started again under its id"
         ),
-        LogEntry::RunGivenUp { task, run, worker, why, ran_ms, beside } => log::warn!(
+        LogEntry::RunLost { task, run, worker, why, ran_ms, beside } => log::warn!(
             job = task.job.to_string(), task = task_path(task), run = *run, worker = worker.as_str(),
             why = *why, ran_ms:? = *ran_ms, beside = *beside;
             "run: lost"
         ),
-        LogEntry::CrashedUnder { task, worker, evidence, crashes } => log::warn!(
+        LogEntry::CrashCounted { task, worker, evidence, crashes } => log::warn!(
             job = task.job.to_string(), task = task_path(task), worker = worker.as_str(),
             evidence = evidence.as_str(), crashes = *crashes;
             "task: its worker crashed"
         ),
-        LogEntry::NoMoreSuspected { task } => log::info!(
+        LogEntry::SuspicionCleared { task } => log::info!(
             job = task.job.to_string(), task = task_path(task);
             "task: suspected of crashes no more"
         ),
-        LogEntry::CrashingTaskGivenUp { task, workers } => log::error!(
+        LogEntry::CrashingTaskFailed { task, workers } => log::error!(
             job = task.job.to_string(), task = task_path(task), crashed = join_ids(workers);
             "job: failed, a task crashes its workers"
         ),
@@ -62,8 +62,8 @@
             answer:? = *answer;
             "order: not done"
         ),
-        LogEntry::Worker { worker, belief, last_answer_age_ms } => log::info!(
-            worker = worker.as_str(), belief = *belief, heard_ago_ms:? = *last_answer_age_ms;
+        LogEntry::Worker { worker, state, last_answer_age_ms } => log::info!(
+            worker = worker.as_str(), belief = *state, heard_ago_ms:? = *last_answer_age_ms;
             "worker: state changed"
         ),
         LogEntry::WaitsForZone { job, step } => log::warn!(
--- a/crates/kitetraild/src/fleet/owner/actions.rs
+++ b/crates/kitetraild/src/fleet/owner/actions.rs
@@ -58,11 +58,11 @@
     /// Logs a decision and updates the metrics.
     fn record_log_entry(&self, decision: &LogEntry) {
         match decision {
-            LogEntry::CrashedUnder { evidence, .. } => {
+            LogEntry::CrashCounted { evidence, .. } => {
                 self.shared.metrics.note_task_crash(evidence.as_str());
             }
             LogEntry::WorkerRestarted { .. } => self.shared.metrics.note_worker_restart(),
-            LogEntry::CrashingTaskGivenUp { .. } => self.shared.metrics.note_crashing_job(),
+            LogEntry::CrashingTaskFailed { .. } => self.shared.metrics.note_crashing_job(),
             _ => {}
         }
         log_entries::log_entry(decision);
@@ -104,7 +104,7 @@
             let _ = sender.send(OwnerMessage::Event(event)).await;
             if late && let Ok(report) = call.await {
                 let Report { incarnation, ended, .. } = report;
-                let event = Event::LateEnds { instance, incarnation, ended };
+                let event = Event::LateReport { instance, incarnation, ended };
                 let _ = sender.send(OwnerMessage::Event(event)).await;
             }
         });
--- a/crates/kitetraild/src/fleet/owner/callers.rs
+++ b/crates/kitetraild/src/fleet/owner/callers.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use kitetrail_core::jobs::{Event, JobId, RequestNo};
+use kitetrail_core::jobs::{Event, JobId, JobRequestId};
 use tokio::sync::oneshot;
 
 use super::{
@@ -23,7 +23,7 @@
 impl<P: Platform> Owner<P> {
     /// Handles a caller's request.
     pub(super) fn handle_call(&mut self, call: Call, reply: oneshot::Sender<Answer>) {
-        let request = RequestNo(self.next_request);
+        let request = JobRequestId(self.next_request);
         self.next_request += 1;
         match call {
             Call::Submit { job, queue, spec } => {
@@ -68,7 +68,7 @@
     }
 
     /// Answers a waiting caller, unless it was answered before.
-    pub(super) fn reply(&mut self, request: RequestNo, answer: Answer) {
+    pub(super) fn reply(&mut self, request: JobRequestId, answer: Answer) {
         if let Some(reply) = self.waiting_callers.remove(&request) {
             let _ = reply.send(answer);
         }
--- a/crates/kitetraild/src/fleet/owner/mod.rs
+++ b/crates/kitetraild/src/fleet/owner/mod.rs
@@ -7,7 +7,7 @@
 
 use kitetrail_core::{
     Time,
-    jobs::{Event, RequestNo, Scheduler},
+    jobs::{Event, JobRequestId, Scheduler},
 };
 use tokio::{
     sync::{mpsc, oneshot},
@@ -87,7 +87,7 @@
     batches: mpsc::Sender<Batch>,
     next_request: u64,
     /// The callers that wait for the answer to a submission or cancellation.
-    waiting_callers: HashMap<RequestNo, oneshot::Sender<Answer>>,
+    waiting_callers: HashMap<JobRequestId, oneshot::Sender<Answer>>,
     /// Whether a batch is being written to the store.
     commit_in_flight: bool,
     /// Whether this owner must make no more decisions, since another one took over or may have.
@@ -219,7 +219,7 @@
         let since_last = now.since(self.last_tick_at);
         let stalled = since_last >= STALL_THRESHOLD;
         self.last_tick_at = now;
-        if !self.handle(Event::Lagged(since_last.saturating_sub(TICK_INTERVAL))) {
+        if !self.handle(Event::OwnerLagged(since_last.saturating_sub(TICK_INTERVAL))) {
             return ControlFlow::Break(OwnershipEnd::Deposed);
         }
         if stalled && !self.tick_skipped {
@@ -264,7 +264,7 @@
         let until = self.shared.store_trouble_until();
         if let Some(until) = until.filter(|_| until > self.sent_trouble_until) {
             self.sent_trouble_until = Some(until);
-            self.handle(Event::StoreTrouble { until });
+            self.handle(Event::StoreUnavailable { until });
         }
     }
 
@@ -305,12 +305,12 @@
         if evacuations != self.sent_evacuations {
             self.sent_evacuations = evacuations;
             let zones = self.shared.evacuated.zones();
-            self.handle(Event::Evacuated(zones));
+            self.handle(Event::EvacuatedZonesChanged(zones));
         }
         let config = self.shared.config().filter(|config| Some(config.version) != self.sent_config);
         if let Some(config) = config {
             self.sent_config = Some(config.version);
-            self.handle(Event::Queues(config.queues()));
+            self.handle(Event::QueuesChanged(config.queues()));
         }
     }
 
--- a/crates/kitetraild/src/fleet/workers_watch.rs
+++ b/crates/kitetraild/src/fleet/workers_watch.rs
@@ -8,7 +8,7 @@
 
 use kitetrail_core::{
     Time,
-    jobs::{Discovery, Event, WorkerEntry, WorkerName},
+    jobs::{Event, WorkerEntry, WorkerListChange, WorkerName},
 };
 use kitetrail_platform::fleet::{
     EntryFault, ListedWorkers, UnusableEntry, WorkerChanges, WorkerList,
@@ -27,7 +27,7 @@
 
 /// The changes and the version to watch from, `None` if the workers must be listed again. The outer
 /// `None` stands for a failed call.
-type Changes = Option<(Vec<Discovery>, Option<u64>)>;
+type Changes = Option<(Vec<WorkerListChange>, Option<u64>)>;
 
 /// An entry that was sent to the owner.
 struct KnownEntry {
@@ -46,7 +46,11 @@
 
 impl KnownEntries {
     /// Records an unusable entry. Returns `None` if the owner already knows it.
-    fn record_unusable(&mut self, entry: UnusableEntry, metrics: &Metrics) -> Option<Discovery> {
+    fn record_unusable(
+        &mut self,
+        entry: UnusableEntry,
+        metrics: &Metrics,
+    ) -> Option<WorkerListChange> {
         let UnusableEntry { id, fault } = entry;
         if self.unusable.get(&id) == Some(&fault) {
             return None;
@@ -59,7 +63,7 @@
         // If the previous entry returns, it must be sent again.
         self.workers.remove(&id);
         let is_new = self.unusable.insert(id.clone(), fault).is_none();
-        is_new.then_some(Discovery::Unusable(id))
+        is_new.then_some(WorkerListChange::Unusable(id))
     }
 }
 
@@ -76,7 +80,7 @@
             Some((changes, next)) => {
                 version = next;
                 let has_changes = !changes.is_empty();
-                let event = OwnerMessage::Event(Event::Discovered(changes));
+                let event = OwnerMessage::Event(Event::WorkerListChanged(changes));
                 if has_changes && owner.send(event).await.is_err() {
                     return;
                 }
@@ -101,11 +105,11 @@
     // The complete list is sent, including known entries, which corrects any difference in the owner.
     known.workers.clear();
     discoveries.extend(changes(known, entries, Vec::new(), now));
-    discoveries.extend(unusable.iter().map(|entry| Discovery::Unusable(entry.id.clone())));
+    discoveries.extend(unusable.iter().map(|entry| WorkerListChange::Unusable(entry.id.clone())));
     for entry in unusable {
         known.record_unusable(entry, &shared.metrics);
     }
-    discoveries.push(Discovery::Whole);
+    discoveries.push(WorkerListChange::Complete);
     Some((discoveries, Some(version)))
 }
 
@@ -142,12 +146,12 @@
     listed: Vec<WorkerEntry>,
     gone: Vec<WorkerName>,
     now: Time,
-) -> Vec<Discovery> {
+) -> Vec<WorkerListChange> {
     let mut changes = Vec::new();
     for id in gone {
         known.unusable.remove(&id);
         let silent_for = known.workers.remove(&id).map(|known| now.since(known.renewed_at));
-        changes.push(Discovery::Gone { id, silent_for });
+        changes.push(WorkerListChange::Removed { id, silent_for });
     }
     for entry in listed {
         if known.unusable.remove(&entry.id).is_some() {
@@ -156,7 +160,7 @@
         let renewed = KnownEntry { entry: entry.clone(), renewed_at: now };
         let previous = known.workers.insert(entry.id.clone(), renewed);
         if previous.is_none_or(|previous| previous.entry != entry) {
-            changes.push(Discovery::Listed(Box::new(entry)));
+            changes.push(WorkerListChange::Listed(Box::new(entry)));
         }
     }
     changes
