--- a/crates/kitetrail-core/examples/owner_cost.rs
+++ b/crates/kitetrail-core/examples/owner_cost.rs
@@ -1,8 +1,8 @@
 //! What the decisions of an owner cost as its fleet grows, at the same load for each worker.
 //!
 //! A fleet on virtual time is played for some seconds; only the time that the scheduler itself takes is
-//! counted. The load has the shape of the largest one that we know of: watchers that reserve nearly
-//! all processors and serve users, batch work that fills what they leave idle, and short checks.
+//! counted. The load has the shape of the largest one that we know of: serving tasks that reserve
+//! nearly all processors, best-effort tasks that use what they leave idle, and short checks.
 
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
@@ -22,7 +22,7 @@
 /// Rates of the load, a second and worker.
 const CHECKS_PER_S: f64 = 13.0 / 890.0;
 const BUILDS_PER_S: f64 = 14.9 / 890.0;
-/// Watchers that run all the time, for each worker.
+/// Serving tasks that run all the time, for each worker.
 const WATCHERS: f64 = 173.0 / 890.0;
 /// How many times as many builds come when there is to be a backlog.
 const BACKLOG: f64 = 2.6;
--- a/crates/kitetrail-core/src/jobs/event.rs
+++ b/crates/kitetrail-core/src/jobs/event.rs
@@ -88,7 +88,7 @@
         /// The ended runs, in the order of their numbers.
         ended: Vec<RunEnd>,
     },
-    /// The batch of records with this number is durable.
+    /// The batch of records with this number is persisted.
     Committed(u64),
     /// The owner's event loop ran this much later than scheduled: everything it reads and sends is
     /// delayed as long.
@@ -175,7 +175,7 @@
         /// The poll.
         poll: Poll,
     },
-    /// Stores records in one transaction. The next batch follows after this one is durable.
+    /// Stores records in one transaction. The next batch follows after this one is persisted.
     Commit {
         /// The number of the batch.
         batch: u64,
--- a/crates/kitetrail-core/src/jobs/instance.rs
+++ b/crates/kitetrail-core/src/jobs/instance.rs
@@ -171,8 +171,8 @@
     pub(super) leasing: Leasing,
     /// Whether its row that is being written says that it gets no lease.
     pub(super) sent_not_leased: bool,
-    /// Whether it has not answered until `leases_expire_by`, and the store has not confirmed this owner
-    /// since.
+    /// Whether it has not answered until `leases_expire_by`, and the store has not confirmed this
+    /// owner since.
     pub(super) expiry_unconfirmed: bool,
     /// The fencing token of the next order.
     pub(super) token: u64,
@@ -204,9 +204,9 @@
     pub(super) silent_while_owner_on_time: bool,
     /// The number of the last run end that the worker reported.
     pub(super) last_end_received: u64,
-    /// The number of the last run end that is durable.
+    /// The number of the last run end that is persisted.
     pub(super) last_end_persisted: u64,
-    /// The number of the last run end that was acknowledged to the worker as durable.
+    /// The number of the last run end that was acknowledged to the worker as persisted.
     pub(super) last_end_acknowledged: u64,
     /// The number of failed runs in a row, over all tasks.
     pub(super) failures: u32,
--- a/crates/kitetrail-core/src/jobs/job.rs
+++ b/crates/kitetrail-core/src/jobs/job.rs
@@ -33,10 +33,10 @@
     pub(super) images: Vec<ImageNo>,
     pub(super) accepted_unix_ms: u64,
     pub(super) accepted_at: Time,
-    /// The outcome as decided. If the job has ended, the outcome is not durable yet.
+    /// The outcome as decided. If the job has ended, the outcome is not persisted yet.
     pub(super) outcome: Outcome,
     pub(super) ended_unix_ms: Option<u64>,
-    /// Whether the job is durable.
+    /// Whether the job is persisted.
     pub(super) is_persisted: bool,
     pub(super) has_started: bool,
     /// Whether some of its tasks may wait for a worker. Most jobs have none most of the time, and
@@ -121,7 +121,7 @@
         (self.queue.stretch * path_ms) as u64 + self.queue.target_latency_ms
     }
 
-    /// Returns the state shown to callers until the end of the job is durable.
+    /// Returns the state shown to callers until the end of the job is persisted.
     pub(super) fn state(&self) -> JobState {
         if self.has_started { JobState::Running } else { JobState::Queued }
     }
--- a/crates/kitetrail-core/src/jobs/log_entry.rs
+++ b/crates/kitetrail-core/src/jobs/log_entry.rs
@@ -82,9 +82,9 @@
         before: Option<Incarnation>,
         /// The current incarnation, if reported.
         now: Option<Incarnation>,
-        /// The number of the last run end received from the previous incarnation.
+        /// The number of the last run end received from the previous instance.
         ends_seen: u64,
-        /// The number of runs that the previous incarnation should have been running.
+        /// The number of runs that the previous instance should have been running.
         runs: u32,
     },
     /// A run was lost: the worker instance that it was placed on can no longer be running it.
@@ -191,7 +191,7 @@
         /// The owner's lag, in milliseconds.
         lag_ms: u64,
     },
-    /// The data that is not durable yet.
+    /// The data that is not persisted yet.
     Unpersisted {
         /// The number of records that wait for a batch.
         records: u64,
--- a/crates/kitetrail-core/src/jobs/record.rs
+++ b/crates/kitetrail-core/src/jobs/record.rs
@@ -33,7 +33,7 @@
 pub enum Record {
     /// Writes an accepted job. This happens once per job.
     Job(JobRecord),
-    /// Writes the progress of a job, at each change that must be durable.
+    /// Writes the progress of a job, at each change that must be persisted.
     Progress(ProgressRecord),
     /// Removes the specification of a job that has ended and is no longer needed.
     RemoveJob(JobId),
@@ -51,11 +51,11 @@
 /// again.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct EffectsRecord {
-    /// The entries of all latency-critical images.
+    /// The entries of all serving images.
     pub serving: Vec<ServingEffects>,
 }
 
-/// The learned interference with one latency-critical image.
+/// The learned interference with one serving image.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServingEffects {
     /// The image.
--- a/crates/kitetrail-core/src/jobs/report.rs
+++ b/crates/kitetrail-core/src/jobs/report.rs
@@ -4,8 +4,8 @@
 
 use super::names::{Incarnation, TaskName};
 
-/// A request to a worker that renews its leases and asks for a report, which the worker may delay
-/// (long polling).
+/// A status poll: it renews the leases of a worker and asks for a report, which the worker may
+/// delay (long polling).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Poll {
     /// The fencing token. A higher token invalidates all orders with lower tokens.
@@ -13,8 +13,8 @@
     /// The new end of all leases, on the worker's clock in milliseconds; `None` leaves the leases
     /// unchanged.
     pub lease_until_ms: Option<u64>,
-    /// The number up to which run ends are acknowledged: they are durable and need not be reported
-    /// again.
+    /// The number up to which run ends are acknowledged: they are persisted and need not be
+    /// reported again.
     pub acknowledged_end: u64,
     /// The maximum time that the worker may wait for the end of a run before it answers, in
     /// milliseconds.
@@ -58,7 +58,7 @@
     pub checkpoint: Option<String>,
     /// The share of work that is done, in percent; 100 for a long-running task that is ready.
     pub percent: u32,
-    /// The tail latency in milliseconds if the task is latency-critical, else the processor time in
+    /// The tail latency in milliseconds if the task is serving, else the processor time in
     /// thousandths of a core; measured over the last half second.
     pub gauge: Option<u32>,
 }
--- a/crates/kitetrail-core/src/jobs/run.rs
+++ b/crates/kitetrail-core/src/jobs/run.rs
@@ -65,18 +65,18 @@
     pub(super) alone: bool,
     pub(super) keeps_progress: bool,
     pub(super) is_long_running: bool,
-    /// The target of the tail latency, if the run is latency-critical.
+    /// The target of the tail latency, if the run is serving.
     pub(super) tail_target_ms: Option<u64>,
     pub(super) image: ImageNo,
     /// The share of work done in the last report, in percent.
     pub(super) percent: u32,
     pub(super) progress: Progress,
     /// The gauge in the last report: the tail latency in milliseconds if the run is
-    /// latency-critical, else the processor time in use, in thousandths of a core.
+    /// serving, else the processor time in use, in thousandths of a core.
     pub(super) gauge: Option<u32>,
     /// The pace that was last ordered, in percent of full speed.
     pub(super) paced_percent: u8,
-    /// The estimated stress from its own load, for a latency-critical run.
+    /// The estimated stress from its own load, for a serving run.
     pub(super) own_stress: Estimate,
     /// The time at which its gauge was last used for learning.
     pub(super) learned_at: Option<Time>,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Returns whether the run is latency-critical.
+    /// Returns whether the run is serving (latency-critical).
     pub(super) fn is_serving(&self) -> bool {
         self.tail_target_ms.is_some()
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
@@ -58,7 +58,7 @@
     }
 }
 
-/// A worker that fell silent and whose incarnation has ended.
+/// A worker that became silent and whose instance has ended.
 #[derive(Debug)]
 pub(super) struct LostWorker {
     lost_at: Time,
@@ -69,7 +69,7 @@
 }
 
 impl Scheduler {
-    /// Returns the runs that may have crashed a worker whose incarnation ended; empty if it did not
+    /// Returns the runs that may have crashed a worker whose instance ended; empty if it did not
     /// crash.
     pub(super) fn crash_suspects(&self, instance_no: InstanceNo, end: InstanceEnd) -> Vec<Suspect> {
         let Some(instance) =
@@ -99,7 +99,7 @@
 
     /// Drops the runs of a silent worker whose lease has expired.
     ///
-    /// A crash is confirmed only once another incarnation answers or the worker's entry has
+    /// A crash is confirmed only once another instance answers or the worker's entry has
     /// expired. Tasks whose starts are persisted as possible crash causes don't wait for that: a
     /// worker may take longer to return than two more attempts.
     pub(super) fn drop_runs_of_silent_worker(&mut self, instance_no: InstanceNo) {
@@ -121,7 +121,7 @@
     }
 
     /// Counts a crash against the tasks that may have caused it. Must be called after the runs of
-    /// that incarnation were dropped.
+    /// that instance were dropped.
     pub(super) fn record_crash(&mut self, worker: &InstanceKey, suspects: Vec<Suspect>) {
         for suspect in suspects {
             self.count_crash(worker, &suspect);
@@ -193,7 +193,7 @@
         true
     }
 
-    /// Returns whether several other workers fell silent at about the same time as this one.
+    /// Returns whether several other workers became silent at about the same time as this one.
     fn lost_with_others(&self, instance: &WorkerInstance) -> bool {
         let unanswered_since = instance.unanswered_since.unwrap_or(self.now);
         let is_simultaneous = |time: Time| {
@@ -207,7 +207,7 @@
         silent.count() + ended.count() > MAX_INDEPENDENT_LOSSES
     }
 
-    /// Records a lost worker, to detect simultaneous losses and for its later incarnations.
+    /// Records a lost worker, to detect simultaneous losses and for its later instances.
     pub(super) fn record_lost_worker(&mut self, instance: &WorkerInstance) {
         let now = self.now;
         self.lost_workers.retain(|lost| now.since(lost.lost_at) < LOST_WORKER_RETENTION);
@@ -216,7 +216,7 @@
         self.lost_workers.push(LostWorker { lost_at, worker, address, token: instance.token });
     }
 
-    /// Returns the highest fencing token of a worker's recently ended incarnations.
+    /// Returns the highest fencing token of a worker's recently ended instances.
     pub(super) fn lost_worker_token(&self, worker: &WorkerName) -> Option<u64> {
         let instances = self.lost_workers.iter().filter(|lost| lost.worker == *worker);
         instances.map(|lost| lost.token).max()
@@ -250,13 +250,13 @@
     suspects.map(suspect).collect()
 }
 
-/// Returns whether a run may have started just before its worker fell silent.
+/// Returns whether a run may have started just before its worker became silent.
 fn is_recently_started(instance: &WorkerInstance, run: &PlacedRun) -> bool {
     !run.started_by_predecessor
         && instance.confirmed_run_time(run).is_none_or(|ran| ran < RECENT_START_WINDOW)
 }
 
-/// Returns how long a run had lasted when its worker fell silent.
+/// Returns how long a run had lasted when its worker became silent.
 fn run_duration_bounds(instance: &WorkerInstance, run: &PlacedRun, now: Time) -> RunTimeBounds {
     let Phase::Running(since) = run.phase else { return RunTimeBounds::UNKNOWN };
     let least_ran = instance.confirmed_run_time(run).unwrap_or_default();
--- a/crates/kitetrail-core/src/jobs/scheduler/ends.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/ends.rs
@@ -42,10 +42,10 @@
         self.apply_run_end(instance_no, end);
     }
 
-    /// Handles ends of an earlier incarnation of a worker that arrive in a late answer.
+    /// Handles ends of an earlier instance of a worker that arrive in a late answer.
     ///
     /// The ends are valid regardless of who reports them, but their numbers belong to the earlier
-    /// incarnation only.
+    /// instance only.
     pub(super) fn handle_ends_of_earlier_incarnation(
         &mut self,
         instance_no: InstanceNo,
--- a/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
@@ -153,8 +153,8 @@
         })
     }
 
-    /// Returns whether a task can be placed elsewhere. A latency-critical task must also not be
-    /// disturbed by batch tasks there, since it will soon be alone where it is.
+    /// Returns whether a task can be placed elsewhere. A serving task must also not be
+    /// disturbed by best-effort tasks there, since it will soon be alone where it is.
     fn has_undisturbed_placement(&mut self, name: TaskName, spec: &StepSpec) -> bool {
         let Some(instance_no) = self.choose(name, spec, &[]) else { return false };
         let image = self.jobs.get(&name.job).and_then(|job| job.images.get(name.step as usize));
--- a/crates/kitetrail-core/src/jobs/scheduler/free_capacity.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/free_capacity.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns the headroom of the serving tasks on `instance`, the worker that this room belongs to.
+    /// Returns the headroom of the serving tasks on `instance`, the worker that this belongs to.
     pub(super) fn headroom(&self, instance: &WorkerInstance, tails: &TailModel) -> &Headroom {
         self.headroom.get_or_init(|| Headroom::of(instance, tails))
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/gauges.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/gauges.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Returns the CPU load of batch tasks during the gauge window, by image.
+/// Returns the CPU load of best-effort tasks during the gauge window, by image.
 fn loads_in_window(instance: &mut WorkerInstance, now: Time) -> Vec<Load> {
     instance.just_ended.retain(|ended| now.since(ended.at) < GAUGE_WINDOW);
     let mut loads = loads_by(instance, |run| f64::from(run.gauge.unwrap_or(0)));
--- a/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
@@ -1,14 +1,14 @@
-//! Tracks workers that restart under the same id: which incarnation is over, and what is known of
+//! Tracks workers that restart under the same id: which instance is over, and what is known of
 //! each.
 //!
 //! A restarted worker has lost all earlier state and restarts its end numbers and its clock. Each
-//! start is therefore a separate incarnation here, with its own numbers, runs and leases;
-//! timestamps and numbers of one incarnation never apply to another.
+//! start is therefore a separate instance here, with its own numbers, runs and leases;
+//! timestamps and numbers of one instance never apply to another.
 //!
-//! Neither a list entry nor a start time shows which of two incarnations is over: entries arrive
-//! late, and the wall clock may have been set back. An answer does: an incarnation that answers a
+//! Neither a list entry nor a start time shows which of two instances is over: entries arrive
+//! late, and the wall clock may have been set back. An answer does: an instance that answers a
 //! request sent after the other one was last heard from is the later one. Until then the
-//! incarnations are contested. They get no orders and no acknowledgements of ends, and both are
+//! instances are contested. They get no orders and no acknowledgements of ends, and both are
 //! polled under a fencing token above all tokens sent before, so that whichever is alive refuses
 //! orders in flight.
 
@@ -32,30 +32,30 @@
 /// The source of the answer to a poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReportSource {
-    /// The incarnation that was asked.
+    /// The instance that was asked.
     ThisInstance,
-    /// Another incarnation of the same worker.
+    /// Another instance of the same worker.
     Another(Incarnation),
-    /// An earlier incarnation; the one that was asked has answered since the request was sent.
+    /// An earlier instance; the one that was asked has answered since the request was sent.
     Earlier,
     /// Unknown: the answer does not identify its incarnation, and more than one is known.
     Unknown,
 }
 
-/// The incarnation that executed an order.
+/// The instance that executed an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Executor {
-    /// The incarnation that the order was sent to.
+    /// The instance that the order was sent to.
     ThisInstance,
-    /// Another incarnation of the same worker.
+    /// Another instance of the same worker.
     Another(Incarnation),
     /// Unknown: the answer does not identify its incarnation, and either its clock differs or more
-    /// than one incarnation is known.
+    /// than one instance is known.
     Unknown,
 }
 
 impl Scheduler {
-    /// Returns the known incarnation that a list entry belongs to.
+    /// Returns the known instance that a list entry belongs to.
     ///
     /// An entry that does not identify its incarnation is attributed to the one that was listed
     /// last.
@@ -84,7 +84,7 @@
             .find(|&instance_no| matches_incarnation(instance_no))
     }
 
-    /// Returns the source of the answer to a poll that was sent to an incarnation at a given time.
+    /// Returns the source of the answer to a poll that was sent to an instance at a given time.
     pub(super) fn report_source(
         &self,
         instance_no: InstanceNo,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Returns which incarnation executed an order, and records the answer if it is the one that
+    /// Returns which instance executed an order, and records the answer if it is the one that
     /// the order was sent to.
     ///
     /// An answer that does not identify its incarnation is matched by its clock, which restarts
@@ -124,7 +124,7 @@
                 return Executor::Another(other);
             }
             None if !agrees => {
-                // The poll in flight may acknowledge ends to the later incarnation that were never
+                // The poll in flight may acknowledge ends to the later instance that were never
                 // received. A poll with a higher token is sent now, to arrive first if possible.
                 instance.poll_in_flight = false;
                 self.log_worker_state(instance_no, "asked anew: its clock is another one");
@@ -137,7 +137,7 @@
         Executor::ThisInstance
     }
 
-    /// Handles an answer from a different incarnation than the one that was asked.
+    /// Handles an answer from a different instance than the one that was asked.
     pub(super) fn handle_other_incarnation(
         &mut self,
         instance_no: InstanceNo,
@@ -145,7 +145,7 @@
         sent_at: Time,
     ) {
         let Some(instance) = self.instances.get(instance_no) else { return };
-        // Only its address is known. It may offer other resources than the previous incarnation,
+        // Only its address is known. It may offer other resources than the previous instance,
         // and is not leaving just because that one was. It gets no work until its own entry is
         // read.
         let entry = WorkerEntry {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Marks the incarnations of a worker as contested if a new one joins others. Answers must show
+    /// Marks the instances of a worker as contested if a new one joins others. Answers must show
     /// which of them are over.
     pub(super) fn mark_contested(&mut self, instance_no: InstanceNo) {
         let Some(instance) = self.instances.get(instance_no) else { return };
@@ -184,21 +184,21 @@
             return;
         }
         self.raise_shared_token(instance_no);
-        // An order or poll with a lease time of the old clock may have reached the new incarnation.
+        // An order or poll with a lease time of the old clock may have reached the new instance.
         // Such a lease lasts at most as long as the longest lease that workers grant.
         let leased_until = self.now + self.longest_lease_expiry_delay();
         if let Some(instance) = self.instances.get_mut(instance_no) {
             instance.leases_expire_by = instance.leases_expire_by.max(leased_until);
         }
-        for instance in instances {
-            if let Some(instance) = self.instances.get_mut(instance) {
+        for contested in instances {
+            if let Some(instance) = self.instances.get_mut(contested) {
                 instance.contested = true;
             }
             self.log_worker_state(
-                instance,
+                contested,
                 "contested: another incarnation with its id was reported",
             );
-            self.send_poll_now(instance);
+            self.send_poll_now(contested);
         }
     }
 
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Ends the contested state of a worker once a single incarnation is left.
+    /// Ends the contested state of a worker once a single instance is left.
     pub(super) fn resolve_contest(&mut self, id: &WorkerName) {
         let [instance_no] = *self.instances.of_worker(id) else { return };
         let Some(instance) =
@@ -223,7 +223,7 @@
         self.send_next_order(instance_no);
     }
 
-    /// Raises the fencing token of all incarnations of a worker above every token sent there.
+    /// Raises the fencing token of all instances of a worker above every token sent there.
     /// Whichever is alive refuses everything sent before.
     pub(super) fn raise_shared_token(&mut self, instance_no: InstanceNo) {
         let Some(instance) = self.instances.get(instance_no) else { return };
@@ -240,8 +240,8 @@
         }
     }
 
-    /// Transfers runs that were ordered from one incarnation and are reported by its successor,
-    /// which received the order. All other runs were lost with the earlier incarnation.
+    /// Transfers runs that were ordered from one instance and are reported by its successor,
+    /// which received the order. All other runs were lost with the earlier instance.
     pub(super) fn transfer_runs(&mut self, before: InstanceNo, after: InstanceNo, report: &Report) {
         let now = self.now;
         let running = report.running.iter().map(|reported| (reported.task, reported.run));
--- a/crates/kitetrail-core/src/jobs/scheduler/inherit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/inherit.rs
@@ -27,7 +27,7 @@
     /// The progress of all other jobs. Ended jobs are remembered; an open job without a readable
     /// specification is ignored.
     pub ended: Vec<ProgressRecord>,
-    /// Worker incarnations on which tasks may be running.
+    /// Worker instances on which tasks may be running.
     pub instances: Vec<InstanceRecord>,
     /// The learned interference between images.
     pub effects: EffectsRecord,
@@ -68,7 +68,7 @@
             };
             self.add_inherited_instance(record, starts_here, own_expiry + renewed_for);
         }
-        // The incarnations of these workers are over, and no end of these runs was persisted.
+        // The instances of these workers are over, and no end of these runs was persisted.
         for (worker, tasks) in recorded_starts {
             self.record_crash(
                 &worker,
@@ -90,7 +90,7 @@
     }
 
     /// Returns the tasks that the previous owner had recorded as about to start because they may
-    /// crash their worker, by worker incarnation.
+    /// crash their worker, by worker instance.
     fn recorded_starts_by_worker(&self) -> BTreeMap<InstanceKey, Vec<TaskName>> {
         let mut by_worker = BTreeMap::<_, Vec<_>>::new();
         for (task, start) in self.jobs.values().flat_map(Job::begun_tasks) {
@@ -99,7 +99,7 @@
         by_worker
     }
 
-    /// Adds a worker incarnation used by an earlier owner. Only its address is known.
+    /// Adds a worker instance used by an earlier owner. Only its address is known.
     fn add_inherited_instance(
         &mut self,
         record: InstanceRecord,
--- a/crates/kitetrail-core/src/jobs/scheduler/leasing.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/leasing.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Records which leasing state was sent to the store for each incarnation.
+    /// Records which leasing state was sent to the store for each instance.
     pub(super) fn mark_instances_sent(&mut self, instances: &[InstanceNo]) {
         for &instance_no in instances {
             if let Some(instance) = self.instances.get_mut(instance_no) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Handles the confirmation that the row of an incarnation is persisted.
+    /// Handles the confirmation that the row of an instance is persisted.
     pub(super) fn mark_instance_persisted(&mut self, instance_no: InstanceNo) {
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
         instance.is_persisted = true;
--- a/crates/kitetrail-core/src/jobs/scheduler/mod.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/mod.rs
@@ -1,6 +1,6 @@
 //! Implements the scheduler of one fleet: it takes job events and issues orders to workers.
 //!
-//! A worker that restarts keeps its id but gets a new incarnation. Each incarnation has its own
+//! A worker that restarts keeps its id but gets a new incarnation. Each instance has its own
 //! runs, leases and counters here.
 
 mod backlog;
@@ -113,13 +113,13 @@
     instances: Instances,
     /// Entries whose service no queue uses. Their workers are not contacted.
     unused_service_entries: BTreeMap<WorkerName, WorkerEntry>,
-    /// Worker incarnations used by an earlier owner that have neither answered nor outlasted their
+    /// Worker instances used by an earlier owner that have neither answered nor outlasted their
     /// lease yet.
     unheard: BTreeSet<InstanceNo>,
     /// Whether one of those crashed. Tasks that may have been running there unnoticed are then
     /// possible causes.
     inherited_crashed: bool,
-    /// Workers whose incarnation ended recently.
+    /// Workers whose instance ended recently.
     lost_workers: Vec<LostWorker>,
     /// The end of the last known store outage, if there was one.
     store_outage_until: Option<Time>,
@@ -295,7 +295,7 @@
         self.out.push(Action::Log(LogEntry::Worker { worker, state, last_answer_age_ms }));
     }
 
-    /// Returns the fencing token that a worker incarnation starts with under this owner.
+    /// Returns the fencing token that a worker instance starts with under this owner.
     fn initial_token(&self) -> u64 {
         self.epoch << TOKEN_COUNTER_BITS
     }
@@ -321,7 +321,7 @@
         }
         self.evacuate_zones_if_due();
         self.tell_backlog_if_due();
-        // Back-offs and set-aside periods end without an event of their own.
+        // Back-offs and quarantines end without an event of their own.
         self.placement_needed = true;
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/polls.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/polls.rs
@@ -14,7 +14,7 @@
 /// The longest time that a worker may wait for an end before it answers a poll, in milliseconds. It
 /// bounds how late slow tasks are noticed; the platform accepts up to 2,000 ms.
 const POLL_WAIT_MS: u32 = 900;
-/// The same for workers that run latency-critical and batch tasks side by side, where tail
+/// The same for workers that run serving and best-effort tasks side by side, where tail
 /// latencies change within seconds.
 const POLL_WAIT_SHARED_MS: u32 = 500;
 /// The pause before the next poll, so that ends that occur close together share one answer.
@@ -46,7 +46,7 @@
         }
         let acknowledged_end = instance.end_to_acknowledge();
         if acknowledged_end > 0 && instance.has_start_in_flight() {
-            // The answer to the start shows whether a later incarnation received it. That one must
+            // The answer to the start shows whether a later instance received it. That one must
             // not get the acknowledgement, which it would apply to its own ends.
             return;
         }
@@ -71,7 +71,7 @@
     /// Schedules the next poll to a worker.
     ///
     /// Where a tail latency is above its target, neither a large fleet nor a lagging owner delays
-    /// polls, because batch tasks there are halted based on these reports.
+    /// polls, because best-effort tasks there are halted based on these reports.
     pub(super) fn schedule_poll(&mut self, instance_no: InstanceNo) {
         let now = self.now;
         let fleet_cycle = Duration::from_secs_f64(self.instances.len() as f64 / TARGET_POLLS_PER_S);
--- a/crates/kitetrail-core/src/jobs/scheduler/quarantine.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/quarantine.rs
@@ -8,7 +8,7 @@
 const UNHEALTHY_DURATION: Duration = Duration::from_millis(1_000);
 /// How long a worker whose runs make no progress gets no new work before it is tried again.
 const HANGING_DURATION: Duration = Duration::from_millis(3_000);
-/// The number of consecutive failed runs after which a worker is set aside. One in 20 tasks fails
+/// The number of consecutive failed runs after which a worker is quarantined. One in 20 tasks fails
 /// through its own fault, so three in a row are rare on a healthy worker.
 const CONSECUTIVE_FAILURE_LIMIT: u32 = 3;
 /// The initial duration; it doubles each time.
@@ -40,10 +40,11 @@
         }
     }
 
-    /// Counts a failed run against its worker, and sets the worker aside after too many in a row.
+    /// Counts a failed run against its worker, and quarantines the worker after too many in a
+    /// row.
     ///
-    /// Further failures don't extend the time for which a worker is set aside, since they belong to
-    /// runs that were started before.
+    /// Further failures don't extend the time for which a worker is quarantined, since they belong
+    /// to runs that were started before.
     pub(super) fn record_run_failure(&mut self, instance_no: InstanceNo) {
         let now = self.now;
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
--- a/crates/kitetrail-core/src/jobs/scheduler/requests.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/requests.rs
@@ -152,12 +152,12 @@
     }
 
     fn stop_job_runs(&mut self, id: JobId) {
-        let runs = self.instances.iter().flat_map(|(instance, worker)| {
+        let runs = self.instances.iter().flat_map(|(instance_no, worker)| {
             let of_job = worker.runs().iter().filter(move |(task, _)| task.job == id);
-            of_job.map(move |(&task, run)| (instance, task, run.run))
+            of_job.map(move |(&task, run)| (instance_no, task, run.run))
         });
-        for (instance, task, run) in runs.collect::<Vec<_>>() {
-            self.stop_run(instance, task, run);
+        for (instance_no, task, run) in runs.collect::<Vec<_>>() {
+            self.stop_run(instance_no, task, run);
         }
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/workers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/workers.rs
@@ -1,4 +1,4 @@
-//! Maintains the list of workers and their incarnations.
+//! Maintains the list of workers and their instances.
 
 use std::{sync::Arc, time::Duration};
 
@@ -44,7 +44,7 @@
         self.placement_needed = true;
     }
 
-    /// Ends earlier incarnations at the place of one that answered a poll sent at a given time.
+    /// Ends earlier instances at the place of one that answered a poll sent at a given time.
     pub(super) fn end_earlier_instances(
         &mut self,
         instance_no: InstanceNo,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Ends a worker incarnation and drops all of its runs for good.
+    /// Ends a worker instance and drops all of its runs for good.
     ///
     /// A crashed worker reports no ends, so the cause of the crash is derived here: a run lost with
     /// its worker may have caused the loss.
@@ -85,7 +85,7 @@
         self.placement_needed = true;
     }
 
-    /// Applies time-based changes to an incarnation: expired leases and due polls.
+    /// Applies time-based changes to an instance: expired leases and due polls.
     pub(super) fn check_instance(&mut self, instance_no: InstanceNo) {
         self.stop_leasing_if_silent(instance_no);
         let lease_has_expired = self.silent_lease_has_expired(instance_no);
@@ -143,9 +143,9 @@
         }
     }
 
-    /// Updates a known incarnation from its list entry, which may have changed.
+    /// Updates a known instance from its list entry, which may have changed.
     ///
-    /// A draining incarnation never returns to service: an entry that says otherwise was written
+    /// A draining instance never returns to service: an entry that says otherwise was written
     /// earlier and arrived late.
     fn update_listed_instance(&mut self, instance_no: InstanceNo, mut entry: WorkerEntry) {
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
@@ -171,10 +171,10 @@
         }
     }
 
-    /// Adds a new incarnation from its list entry.
+    /// Adds a new instance from its list entry.
     ///
-    /// The entry does not prove that other incarnations at its place are over: entries of an ended
-    /// incarnation may arrive after those of its successor. Answers to polls show which of them are
+    /// The entry does not prove that other instances at its place are over: entries of an ended
+    /// instance may arrive after those of its successor. Answers to polls show which of them are
     /// alive.
     fn add_listed_instance(&mut self, entry: WorkerEntry) {
         // No other owner has leased on a worker that is new to the list, or the worker's record
--- a/crates/kitetrail-core/tests/fleet/crashes.rs
+++ b/crates/kitetrail-core/tests/fleet/crashes.rs
@@ -11,7 +11,7 @@
 
 /// The default time until a crashed worker returns.
 const DEFAULT_RETURN_DELAY: Duration = Duration::from_millis(3_000);
-/// The time from a crash until the worker's entry lapses.
+/// The time from a crash until the worker's entry expires.
 const LAPSE_DELAY: Duration = Duration::from_millis(3_300);
 
 /// The tasks that crash their workers, and a record of the crashes.
@@ -29,7 +29,7 @@
     pub lost_other_runs: u32,
     /// The crashed workers, with the time of their return.
     returning: Vec<(Time, String)>,
-    /// The entries of crashed workers, with the time at which they lapse.
+    /// The entries of crashed workers, with the time at which they expire.
     lapsing: Vec<(Time, String)>,
     /// The number of workers that have returned, for new ids.
     return_count: u32,
@@ -87,7 +87,7 @@
         self.log_entries.iter().filter(|(_, entry)| is_crash(entry)).count()
     }
 
-    /// Advances crashes, returns and lapses by one step of the clock.
+    /// Advances crashes, returns and expiries by one step of the clock.
     pub(super) fn step_crashes(&mut self) {
         self.crash_workers_of_tasks();
         let now = self.now;
--- a/crates/kitetrail-core/tests/fleet/listing.rs
+++ b/crates/kitetrail-core/tests/fleet/listing.rs
@@ -11,7 +11,7 @@
 
 /// A silence shorter than the interval between two heartbeats of a worker.
 const BETWEEN_HEARTBEATS: Duration = Duration::from_millis(700);
-/// The silence after which an entry lapses: three heartbeats.
+/// The silence after which an entry expires: three heartbeats.
 const LAPSE_DELAY: Duration = Duration::from_millis(3_300);
 
 impl World {
@@ -22,8 +22,8 @@
         self.tell(Event::WorkerListChanged(all));
     }
 
-    /// Replaces a worker with a new life on the same machine under another id, as after a crash. Returns the
-    /// entry of the old life.
+    /// Replaces a worker with a new instance on the same machine under another id, as after a crash. Returns the
+    /// entry of the old instance.
     pub fn reborn(&mut self, id: &str, new_id: &str) -> WorkerEntry {
         let worker = self.workers.remove(id).expect("the fleet has this worker");
         let entry = WorkerEntry { id: new_id.into(), ..worker.entry.clone() };
@@ -58,7 +58,7 @@
         self.unlist_after(id, BETWEEN_HEARTBEATS);
     }
 
-    /// Reports to the scheduler that a worker's entry lapsed without heartbeats.
+    /// Reports to the scheduler that a worker's entry expired without heartbeats.
     pub fn lapse(&mut self, id: &str) {
         self.unlist_after(id, LAPSE_DELAY);
     }
--- a/crates/kitetrail-core/tests/fleet/mod.rs
+++ b/crates/kitetrail-core/tests/fleet/mod.rs
@@ -63,9 +63,9 @@
     pub effects: EffectsRecord,
     /// The tasks that crash their workers, and a record of the crashes.
     pub crashes: Crashes,
-    /// Lives of workers that crashed and were replaced: on their machines a new life answers.
+    /// Instances that crashed and were replaced: on their machines a new instance answers.
     replaced_instances: BTreeSet<String>,
-    /// The polls for replaced lives, which reached the new life.
+    /// The polls to replaced instances, which reached the new instance.
     polls_to_replaced_instances: Vec<(InstanceNo, Poll, Time)>,
     /// The polls whose connection broke when their worker crashed.
     interrupted_polls: Vec<(InstanceNo, Poll, Time)>,
--- a/crates/kitetrail-core/tests/fleet/worker.rs
+++ b/crates/kitetrail-core/tests/fleet/worker.rs
@@ -139,21 +139,21 @@
     pub answers_tell_start: bool,
     /// The end of the lease on the worker's clock, in milliseconds.
     pub leased_until_ms: u64,
-    /// The acknowledged ends with the times at which they occurred, except those after which the lease lapsed before
+    /// The acknowledged ends with the times at which they occurred, except those after which the lease expired before
     /// the acknowledgement.
     pub acknowledged_ends: Vec<(Time, RunEnd)>,
     /// The poll that waits for an answer, with the time at which it was sent.
     pub open_poll: Option<(InstanceNo, Poll, Time)>,
-    /// Earlier polls that still wait: an owner may hold two lives of a worker at the same time.
+    /// Earlier polls that still wait: an owner may hold two instances of a worker at the same time.
     pub earlier_polls: Vec<(InstanceNo, Poll, Time)>,
     /// The delay after which a late worker carries out orders.
     pub late_by: Duration,
     deferred: VecDeque<DeferredOrder>,
-    /// The ends in a late answer, with the time of its arrival and the life to which it belongs.
+    /// The ends in a late answer, with the time of its arrival and the instance to which it belongs.
     pub late_ends: Option<(Time, InstanceNo, Vec<RunEnd>)>,
     /// The tasks that this worker completed.
     pub done: Vec<TaskName>,
-    /// The number of runs whose lease lapsed.
+    /// The number of runs whose lease expired.
     pub lapsed: u32,
     next_end_number: u64,
     /// The times of the ends that are not acknowledged, by number.
--- a/crates/kitetrail-core/tests/jobs_crashing.rs
+++ b/crates/kitetrail-core/tests/jobs_crashing.rs
@@ -2,8 +2,8 @@
 //!
 //! The failure: on a user's fleet of 66 workers one worker was lost every 0.4 to 1.2 s, from the submission of some jobs
 //! until the end of the day, and each crash lost 6 to 13 runs of other jobs. A task of each of these jobs crashed its
-//! worker 10 ms after its start. The worker became silent within 0.1 s and returned as a new life 3 s later. The owner
-//! then gave up the runs of the old life and, 5 ms later, started the task on the next worker, beside 20 other runs.
+//! worker 10 ms after its start. The worker became silent within 0.1 s and returned as a new instance 3 s later. The owner
+//! then recorded the runs of the old instance as lost and, 5 ms later, started the task on the next worker, beside 20 other runs.
 //!
 //! The cause: only ends that a worker reported as failed counted as attempts. A crashed worker reports nothing, so runs
 //! lost with it did not count, and a task could be started without limit.
--- a/crates/kitetrail-core/tests/jobs_overload.rs
+++ b/crates/kitetrail-core/tests/jobs_overload.rs
@@ -169,7 +169,7 @@
     world.run_until("the watcher runs", |world| {
         (0..12).all(|index| !world.where_runs(task(1, 0, index)).is_empty())
     });
-    // All leases lapse, and the waiting short tasks could take all room.
+    // All leases expire, and the waiting short tasks could take all room.
     world.submit(2, job(vec![step(4)]));
     world.submit(3, job(vec![step(40)]));
     world.run_ms(50);
@@ -180,7 +180,7 @@
     assert_eq!(running, 12);
 }
 
-/// Returns a world with a watcher whose tail latency is above its target as soon as a best-effort
+/// Returns a world with a long-running serving task whose tail latency is above its target as soon as a best-effort
 /// task runs beside it.
 fn world_with_watcher() -> World {
     let mut world = World::new(1);
@@ -211,7 +211,7 @@
     }
 }
 
-/// Returns whether the best-effort task beside the watcher is halted.
+/// Returns whether the best-effort task beside the serving task is halted.
 fn is_halted(world: &World) -> bool {
     world.workers["w0"].running[&task(2, 0, 0)].percent == 0
 }
@@ -291,6 +291,6 @@
         world.where_runs(task(1, 0, 0)).into_iter().any(|other| other != id);
     assert!(
         runs_on_another_worker,
-        "a task of a silent worker was not restarted after its lease lapsed"
+        "a task of a silent worker was not restarted after its lease expired"
     );
 }
--- a/crates/kitetrail-core/tests/jobs_restarted.rs
+++ b/crates/kitetrail-core/tests/jobs_restarted.rs
@@ -5,8 +5,8 @@
 //! fail twice was started three more times. The owner started a task on a worker 0.1 to 0.3 s after that worker's restart, the
 //! run ended, and 0.5 to 2 s later the owner considered the run lost and started the task on the next worker.
 //!
-//! The cause: an incarnation of a worker was identified by the worker's id alone, so the owner continued with the numbers of
-//! the previous incarnation. It ignored an end with a number at or below the last one it had received, and its next poll
+//! The cause: an instance of a worker was identified by the worker's id alone, so the owner continued with the numbers of
+//! the previous instance. It ignored an end with a number at or below the last one it had received, and its next poll
 //! acknowledged ends up to the old number, so that the worker dropped ends that nobody had read.
 //!
 //! In the owner's log of two such waves, 140 runs were lost in this way, all on workers that had just restarted and from which
@@ -107,7 +107,7 @@
         }
         world.submit(10, job(vec![step(12)]));
         world.run_ms(1_000);
-        // Until the entries of the new incarnations are read, only orders in flight when the restart was detected start runs.
+        // Until the entries of the new instances are read, only orders in flight when the restart was detected start runs.
         let started_before = world.starts.len();
         assert!(started_before < 12, "{answers_report_start}: {:?}", world.starts);
         world.run_ms(1_000);
@@ -174,7 +174,7 @@
     let before = world.worker(&worker_id).entry.incarnation;
     world.restart(&worker_id);
     world.list_all();
-    // The late answer of the previous incarnation is read before the next one has answered.
+    // The late answer of the previous instance is read before the next one has answered.
     world.tell(Event::LateReport { instance, incarnation: before, ended });
     world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
     assert_eq!(world.starts.len(), 1, "the completed task is not started again");
@@ -280,7 +280,7 @@
 
 #[test]
 fn the_lease_of_an_order_to_an_earlier_incarnation_expires_before_a_new_start() {
-    // The order carries a lease end on the clock of the earlier incarnation. The new one reads it as a time far in the future
+    // The order carries a lease end on the clock of the earlier instance. The new one reads it as a time far in the future
     // and cuts it to its longest lease. The fleet panics if a task runs twice.
     let mut world = used_fleet(3);
     world.work_ms = Some(20_000);
@@ -304,7 +304,7 @@
     world.run_ms(6_000);
     let token = world.workers["w0"].token;
     world.restart("w0");
-    // A request to the earlier incarnation, under one of the tokens issued after it became unresponsive, arrives first.
+    // A request to the earlier instance, under one of the tokens issued after it became unresponsive, arrives first.
     world.worker("w0").token = token + 3;
     world.list_all();
     world.run_ms(2_000);
@@ -398,7 +398,7 @@
     match rng.random_range(0..10) {
         0..5 => {
             let at_new_address = rng.random_bool(0.3);
-            // The clock may have been set back, but two incarnations of a worker never report the same start time.
+            // The clock may have been set back, but two instances of a worker never report the same start time.
             let started = DAY_UNIX_MS + world.now.as_ms() - rng.random_range(0..2) * 2_999;
             let address = match at_new_address {
                 true => format!("10.1.{}.{}:80", rng.random_range(0..99), rng.random_range(0..99)),
--- a/crates/kitetrail-core/tests/jobs_shrinking.rs
+++ b/crates/kitetrail-core/tests/jobs_shrinking.rs
@@ -1,6 +1,6 @@
 //! Tests of workers whose capacity shrinks and grows while they run.
 //!
-//! A worker reports its capacity in its entry, which may change during its life. Some workers start
+//! A worker reports its capacity in its entry, which may change while it runs. Some workers start
 //! whatever they are ordered, so a start that was placed by the old capacity must not be sent once
 //! the new one is known.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
--- a/crates/kitetrail-core/tests/jobs_two_owners.rs
+++ b/crates/kitetrail-core/tests/jobs_two_owners.rs
@@ -70,7 +70,7 @@
     world.run_until("all tasks run", |world| world.starts.len() == 6);
     partition(&mut world, InFlight::Lost);
     world.run_ms(3_500);
-    // The successor has certainly stopped. That proves nothing about the owner before it, which continues in its partition.
+    // The successor has certainly stopped. That proves nothing about the previous owner, which continues in its partition.
     world.take_over(3, false);
     world.run_ms(7_500);
     end_partition(&mut world);
--- a/crates/kitetraild/src/fleet/rows.rs
+++ b/crates/kitetraild/src/fleet/rows.rs
@@ -26,7 +26,7 @@
 pub(super) const JOBS_TABLE: &str = "kt-jobs";
 /// The table of the jobs' progress.
 pub(super) const PROGRESS_TABLE: &str = "kt-progress";
-/// The table of worker incarnations on which tasks may run.
+/// The table of worker instances on which tasks may run.
 pub(super) const INCARNATIONS_TABLE: &str = "kt-lives";
 /// The table of the learned interference between images.
 pub(super) const EFFECTS_TABLE: &str = "kt-effects";
