--- a/crates/kitetrail-core/examples/owner_cost.rs
+++ b/crates/kitetrail-core/examples/owner_cost.rs
@@ -1,8 +1,8 @@
 //! What the decisions of an owner cost as its fleet grows, at the same load for each worker.
 //!
 //! A fleet on virtual time is played for some seconds; only the time that the scheduler itself takes is
-//! counted. The load has the shape of the largest one that we know of: watchers that reserve nearly
-//! all processors and serve users, batch work that fills what they leave idle, and short checks.
+//! counted. The load has the shape of the largest one that we know of: serving tasks that reserve
+//! nearly all processors, best-effort tasks that use what they leave idle, and short checks.
 
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
@@ -22,7 +22,7 @@
 /// Rates of the load, a second and worker.
 const CHECKS_PER_S: f64 = 13.0 / 890.0;
 const BUILDS_PER_S: f64 = 14.9 / 890.0;
-/// Watchers that run all the time, for each worker.
+/// Serving tasks that run all the time, for each worker.
 const WATCHERS: f64 = 173.0 / 890.0;
 /// How many times as many builds come when there is to be a backlog.
 const BACKLOG: f64 = 2.6;
@@ -55,14 +55,14 @@
     events: u64,
     spent: Duration,
     allocations: u64,
-    holds: u64,
+    polls: u64,
     stale_answers: u64,
 }
 
 impl Counts {
     fn of(world: &World) -> Self {
-        let &World { events, spent, allocations, holds, stale_answers, .. } = world;
-        Self { starts: world.starts.len(), events, spent, allocations, holds, stale_answers }
+        let &World { events, spent, allocations, polls, stale_answers, .. } = world;
+        Self { starts: world.starts.len(), events, spent, allocations, polls, stale_answers }
     }
 }
 
@@ -77,7 +77,7 @@
         spent_us / events,
         (after.allocations - before.allocations) as f64 / starts,
         starts * 1_000.0 / COUNTED_MS as f64,
-        (after.holds - before.holds) as f64 / starts,
+        (after.polls - before.polls) as f64 / starts,
         (after.stale_answers - before.stale_answers) as f64 / starts,
         spent_us / 1_000.0 / COUNTED_MS as f64,
     );
@@ -98,8 +98,9 @@
     fn new(workers: u32, builds: f64) -> Self {
         let mut world = World::with_workers((0..workers).map(worker));
         world.tail_ms = |worker| {
-            let fills = worker.running.values().filter(|run| !run.serves);
-            let used = fills.map(|run| run.cpu_millis * u32::from(run.percent) / 100).sum::<u32>();
+            let best_effort = worker.running.values().filter(|run| !run.is_serving);
+            let used =
+                best_effort.map(|run| run.cpu_millis * u32::from(run.percent) / 100).sum::<u32>();
             12 + 20 * used / worker.entry.capacity.cpu_millis.0
         };
         let mut load = Self {
@@ -161,7 +162,7 @@
             size: Resources::new(cpu_millis, 3_200, 0),
             estimate_ms: self.random.random_range(1_400..4_000),
             keeps_progress: true,
-            fills: true,
+            best_effort: true,
             image: Some(format!("build-{}", self.random.random_range(0..BUILD_IMAGES))),
             ..StepSpec::default()
         }
@@ -173,10 +174,10 @@
             count: self.random.random_range(15..34),
             size: Resources::new(cpu_millis, 6_400, 0),
             estimate_ms: 400,
-            lasts: true,
+            long_running: true,
             image: Some(format!("watch-{}", self.random.random_range(0..WATCH_IMAGES))),
             tail_target_ms: Some(50),
-            may_miss: Some(1),
+            max_unavailable: Some(1),
             ..StepSpec::default()
         }
     }
--- a/crates/kitetrail-core/src/jobs/event.rs
+++ b/crates/kitetrail-core/src/jobs/event.rs
@@ -5,12 +5,12 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    life::LifeNo,
-    names::{Incarnation, JobId, LifeId},
-    note::Note,
+    instance::InstanceNo,
+    log_entry::LogEntry,
+    names::{Incarnation, JobId, WorkerName},
     order::{Order, OrderAnswer},
     record::Record,
-    report::{Hold, HoldFailure, Report, RunEnd},
+    report::{Poll, PollFailure, Report, RunEnd},
     spec::{JobSpec, QueueTerms},
     worker_entry::WorkerEntry,
 };
@@ -18,7 +18,7 @@
 
 /// The number of a caller's request, valid until the request is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RequestNo(pub u64);
+pub struct JobRequestId(pub u64);
 
 /// An input of the scheduler.
 #[derive(Debug, Clone)]
@@ -26,7 +26,7 @@
     /// A caller submits a job.
     Submit {
         /// The request to answer.
-        request: RequestNo,
+        request: JobRequestId,
         /// The id that the caller chose.
         job: JobId,
         /// The queue that the job was submitted to.
@@ -37,16 +37,16 @@
     /// A caller cancels a job.
     Cancel {
         /// The request to answer.
-        request: RequestNo,
+        request: JobRequestId,
         /// The job.
         job: JobId,
     },
     /// The configured queues changed. Contains all queues now in force.
-    Queues(Vec<QueueTerms>),
+    QueuesChanged(Vec<QueueTerms>),
     /// The set of availability zones under evacuation changed. Contains all of them.
-    Evacuated(BTreeSet<String>),
+    EvacuatedZonesChanged(BTreeSet<String>),
     /// The list of workers changed.
-    Discovered(Vec<Discovery>),
+    WorkerListChanged(Vec<WorkerListChange>),
     /// It became known that no earlier owner renewed leases after a moment. This was unknown at the
     /// takeover.
     EarlierOwnersStopped {
@@ -54,65 +54,65 @@
         at: Time,
     },
     /// The store did not answer, or refused requests, until this moment.
-    StoreTrouble {
+    StoreUnavailable {
         /// The time at which the store answered again; the current time while it does not answer.
         until: Time,
     },
     /// An order was answered, or counts as unanswered.
     OrderAnswered {
         /// The worker instance.
-        life: LifeNo,
+        instance: InstanceNo,
         /// The order.
         order: Order,
         /// The answer.
         answer: OrderAnswer,
     },
-    /// A hold was answered, or counts as unanswered.
-    Held {
+    /// A poll was answered, or counts as unanswered.
+    PollAnswered {
         /// The worker instance.
-        life: LifeNo,
-        /// The hold.
-        hold: Hold,
+        instance: InstanceNo,
+        /// The poll.
+        poll: Poll,
         /// The time at which it was sent.
         sent_at: Time,
         /// The worker's report, or why there is none.
-        answer: Result<Report, HoldFailure>,
+        answer: Result<Report, PollFailure>,
     },
-    /// A hold that counted as unanswered was answered late. The ended runs in it are final; the
+    /// A poll that counted as unanswered was answered late. The ended runs in it are final; the
     /// rest of the report is out of date.
-    LateEnds {
-        /// The worker instance that the hold was sent to.
-        life: LifeNo,
+    LateReport {
+        /// The worker instance that the poll was sent to.
+        instance: InstanceNo,
         /// The incarnation that answered, if the platform reports it.
         incarnation: Option<Incarnation>,
         /// The ended runs, in the order of their numbers.
         ended: Vec<RunEnd>,
     },
-    /// The batch of records with this number is durable.
+    /// The batch of records with this number is persisted.
     Committed(u64),
     /// The owner's event loop ran this much later than scheduled: everything it reads and sends is
     /// delayed as long.
-    Lagged(Duration),
+    OwnerLagged(Duration),
     /// The periodic timer fired.
     Tick,
 }
 
 /// A change in the list of workers.
 #[derive(Debug, Clone)]
-pub enum Discovery {
+pub enum WorkerListChange {
     /// A worker is listed with this entry.
     Listed(Box<WorkerEntry>),
     /// A worker is no longer listed.
-    Gone {
+    Removed {
         /// The worker.
-        id: LifeId,
+        id: WorkerName,
         /// The time since the last heartbeat in the removed entry, if known.
         silent_for: Option<Duration>,
     },
     /// The entry of a worker is invalid: the worker can't be used until the entry is corrected.
-    Unusable(LifeId),
+    Unusable(WorkerName),
     /// The list was read completely, and all listed workers have been passed on.
-    Whole,
+    Complete,
 }
 
 /// The answer to a caller who submits a job.
@@ -156,7 +156,7 @@
     /// answer to this one.
     Order {
         /// The worker instance.
-        life: LifeNo,
+        instance: InstanceNo,
         /// The worker's entry, with its address.
         entry: Arc<WorkerEntry>,
         /// The fencing token.
@@ -167,15 +167,15 @@
         order: Order,
     },
     /// Asks a worker what it runs, and renews its leases.
-    Hold {
+    Poll {
         /// The worker instance.
-        life: LifeNo,
+        instance: InstanceNo,
         /// The worker's entry, with its address.
         entry: Arc<WorkerEntry>,
-        /// The hold.
-        hold: Hold,
+        /// The poll.
+        poll: Poll,
     },
-    /// Stores records in one transaction. The next batch follows after this one is durable.
+    /// Stores records in one transaction. The next batch follows after this one is persisted.
     Commit {
         /// The number of the batch.
         batch: u64,
@@ -183,11 +183,11 @@
         records: Vec<Record>,
     },
     /// Answers a caller who submitted a job.
-    AnswerSubmit(RequestNo, SubmitAnswer),
+    AnswerSubmit(JobRequestId, SubmitAnswer),
     /// Answers a caller who cancelled a job.
-    AnswerCancel(RequestNo, CancelAnswer),
+    AnswerCancel(JobRequestId, CancelAnswer),
     /// Logs a decision.
-    Note(Note),
+    Log(LogEntry),
     /// A worker has seen a higher fencing token: another owner has taken over the fleet.
     Deposed,
 }
--- a/crates/kitetrail-core/src/jobs/note.rs
+++ b/crates/kitetrail-core/src/jobs/log_entry.rs
@@ -3,16 +3,16 @@
 use super::{
     crashes::CrashEvidence,
     event::JobState,
-    names::{Incarnation, JobId, LifeId, QueueName, TaskName},
+    names::{Incarnation, JobId, QueueName, TaskName, WorkerName},
     order::OrderAnswer,
-    report::HowEnded,
+    report::RunResult,
     spec::WorkKind,
 };
 use crate::Resources;
 
 /// A decision to be logged.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Note {
+pub enum LogEntry {
     /// A job was accepted, or was already known.
     Submitted {
         /// The job.
@@ -42,12 +42,12 @@
         /// The run.
         run: u32,
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// The worker's free resources before the placement.
         free: Resources,
         /// The time since the worker's last answer, in milliseconds; `None` if it has never
         /// answered.
-        heard_ago_ms: Option<u64>,
+        last_answer_age_ms: Option<u64>,
     },
     /// A run ended.
     RunEnded {
@@ -56,19 +56,19 @@
         /// The run.
         run: u32,
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// How the run ended.
-        how: HowEnded,
+        how: RunResult,
     },
     /// A worker reported the end of a run that should be running there, under an end number that
     /// was received before.
-    EndPassedOver {
+    DuplicateEndIgnored {
         /// The task.
         task: TaskName,
         /// The run.
         run: u32,
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// The end number in the report.
         number: u64,
         /// The highest end number received so far.
@@ -77,24 +77,24 @@
     /// A worker restarted under its id as another incarnation.
     WorkerRestarted {
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// The previous incarnation, if reported.
         before: Option<Incarnation>,
         /// The current incarnation, if reported.
         now: Option<Incarnation>,
-        /// The number of the last run end received from the previous incarnation.
+        /// The number of the last run end received from the previous instance.
         ends_seen: u64,
-        /// The number of runs that the previous incarnation should have been running.
+        /// The number of runs that the previous instance should have been running.
         runs: u32,
     },
     /// A run was lost: the worker instance that it was placed on can no longer be running it.
-    RunGivenUp {
+    RunLost {
         /// The task.
         task: TaskName,
         /// The run.
         run: u32,
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// The reason.
         why: &'static str,
         /// The time that the run is known to have run there, in milliseconds; `None` if its start
@@ -104,27 +104,27 @@
         beside: u32,
     },
     /// A worker crashed while it ran a task that may be the cause.
-    CrashedUnder {
+    CrashCounted {
         /// The task.
         task: TaskName,
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// How strongly the crash suggests that the task caused it.
         evidence: CrashEvidence,
         /// The number of consecutive crashes counted against the task.
         crashes: u32,
     },
     /// A task whose workers had crashed has run for long enough to be no longer a suspect.
-    NoMoreSuspected {
+    SuspicionCleared {
         /// The task.
         task: TaskName,
     },
     /// A job failed because one of its tasks crashes workers.
-    CrashingTaskGivenUp {
+    CrashingTaskFailed {
         /// The task.
         task: TaskName,
         /// The workers that crashed while they ran the task, in order.
-        workers: Vec<LifeId>,
+        workers: Vec<WorkerName>,
     },
     /// A run is stopped to continue on another worker.
     RunMoved {
@@ -133,7 +133,7 @@
         /// The run.
         run: u32,
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// The reason.
         why: &'static str,
     },
@@ -144,19 +144,19 @@
         /// The run.
         run: u32,
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// The answer.
         answer: OrderAnswer,
     },
     /// The assessment of a worker changed.
     Worker {
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// The new assessment.
-        belief: &'static str,
+        state: &'static str,
         /// The time since the worker's last answer, in milliseconds; `None` if it has never
         /// answered.
-        heard_ago_ms: Option<u64>,
+        last_answer_age_ms: Option<u64>,
     },
     /// Only workers in availability zones under evacuation could run the tasks of a step. The tasks
     /// wait until an evacuation is cancelled.
@@ -191,8 +191,8 @@
         /// The owner's lag, in milliseconds.
         lag_ms: u64,
     },
-    /// The data that is not durable yet.
-    Unkept {
+    /// The data that is not persisted yet.
+    Unpersisted {
         /// The number of records that wait for a batch.
         records: u64,
         /// The number of run ends that are not acknowledged to their workers, which report them
@@ -205,7 +205,7 @@
     /// The best-effort runs on a worker were throttled, or their throttling changed.
     Paced {
         /// The worker.
-        worker: LifeId,
+        worker: WorkerName,
         /// Their share of full speed, in percent.
         percent: u8,
         /// The highest tail latency on the worker relative to its target, in percent.
--- a/crates/kitetrail-core/src/jobs/report.rs
+++ b/crates/kitetrail-core/src/jobs/report.rs
@@ -1,33 +1,33 @@
-//! Holds and the workers' reports.
+//! Polls and the workers' reports.
 
 use serde::{Deserialize, Serialize};
 
 use super::names::{Incarnation, TaskName};
 
-/// A request to a worker that renews its leases and asks for a report, which the worker may delay
-/// (long polling).
+/// A status poll: it renews the leases of a worker and asks for a report, which the worker may
+/// delay (long polling).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Hold {
+pub struct Poll {
     /// The fencing token. A higher token invalidates all orders with lower tokens.
     pub token: u64,
     /// The new end of all leases, on the worker's clock in milliseconds; `None` leaves the leases
     /// unchanged.
     pub lease_until_ms: Option<u64>,
-    /// The number up to which run ends are acknowledged: they are durable and need not be reported
-    /// again.
-    pub ends_kept: u64,
+    /// The number up to which run ends are acknowledged: they are persisted and need not be
+    /// reported again.
+    pub acknowledged_end: u64,
     /// The maximum time that the worker may wait for the end of a run before it answers, in
     /// milliseconds.
     pub wait_ms: u32,
 }
 
-/// Why there is no report for a hold.
+/// Why there is no report for a poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HoldFailure {
+pub enum PollFailure {
     /// The worker has seen a higher fencing token.
     Fenced,
     /// This worker instance is over.
-    LifeOver,
+    InstanceOver,
     /// The worker answered that it is unhealthy.
     Unhealthy,
     /// No answer arrived.
@@ -58,7 +58,7 @@
     pub checkpoint: Option<String>,
     /// The share of work that is done, in percent; 100 for a long-running task that is ready.
     pub percent: u32,
-    /// The tail latency in milliseconds if the task is latency-critical, else the processor time in
+    /// The tail latency in milliseconds if the task is serving, else the processor time in
     /// thousandths of a core; measured over the last half second.
     pub gauge: Option<u32>,
 }
@@ -66,7 +66,7 @@
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum HowEnded {
+pub enum RunResult {
     /// The work is done.
     Done,
     /// The run failed, because of the task or the worker.
@@ -91,7 +91,7 @@
     /// The run.
     pub run: u32,
     /// How the run ended.
-    pub how: HowEnded,
+    pub how: RunResult,
     /// The checkpoint that the task could continue from, if any.
     pub checkpoint: Option<String>,
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
@@ -9,13 +9,13 @@
 
 use super::{
     super::{
-        crashes::{CrashEvidence, RanFor},
+        crashes::{CrashEvidence, RunTimeBounds},
         event::Action,
-        life::{Life, LifeEnd, LifeNo, Listing},
-        names::{LifeId, LifeKey, TaskName},
-        note::Note,
+        instance::{InstanceEnd, InstanceNo, Listing, WorkerInstance},
+        log_entry::LogEntry,
+        names::{InstanceKey, TaskName, WorkerName},
         record::Outcome,
-        run::{Phase, RunThere},
+        run::{Phase, PlacedRun},
     },
     Scheduler,
 };
@@ -48,47 +48,50 @@
     task: TaskName,
     evidence: CrashEvidence,
     /// The duration of the run; unknown if an earlier owner started it.
-    ran: Option<RanFor>,
+    ran: Option<RunTimeBounds>,
 }
 
 impl Suspect {
     /// Creates a suspect for a task that an earlier owner recorded as about to start on the worker.
     pub(super) fn from_recorded_start(task: TaskName) -> Self {
-        Self { task, evidence: CrashEvidence::FellAtOnce, ran: None }
+        Self { task, evidence: CrashEvidence::Immediate, ran: None }
     }
 }
 
-/// A worker that fell silent and whose incarnation has ended.
+/// A worker that became silent and whose instance has ended.
 #[derive(Debug)]
 pub(super) struct LostWorker {
     lost_at: Time,
-    worker: LifeId,
+    worker: WorkerName,
     address: String,
     /// The highest fencing token sent, or about to be sent, to the worker.
     token: u64,
 }
 
 impl Scheduler {
-    /// Returns the runs that may have crashed a worker whose incarnation ended; empty if it did not
+    /// Returns the runs that may have crashed a worker whose instance ended; empty if it did not
     /// crash.
-    pub(super) fn crash_suspects(&self, life_no: LifeNo, end: LifeEnd) -> Vec<Suspect> {
-        let Some(life) = self.lives.get(life_no).filter(|life| !life.entry.draining) else {
+    pub(super) fn crash_suspects(&self, instance_no: InstanceNo, end: InstanceEnd) -> Vec<Suspect> {
+        let Some(instance) =
+            self.instances.get(instance_no).filter(|instance| !instance.entry.draining)
+        else {
             return Vec::new();
         };
-        let recorded = life.begun_before.iter().copied().map(Suspect::from_recorded_start);
-        let mut suspects = recorded.chain(life.suspects.iter().cloned()).collect::<Vec<_>>();
-        suspects.extend(suspects_among(life, self.now));
-        let with_others = self.lost_with_others(life);
+        let recorded = instance.inherited_starts.iter().copied().map(Suspect::from_recorded_start);
+        let mut suspects = recorded.chain(instance.suspects.iter().cloned()).collect::<Vec<_>>();
+        suspects.extend(suspects_among(instance, self.now));
+        let with_others = self.lost_with_others(instance);
         // If the worker left, is only unreachable, or was lost together with others, runs that had
         // lasted a while are not implicated.
-        let implicates_all = end != LifeEnd::Gone
-            && !matches!(life.listing, Listing::Gone { .. })
-            && !life.zone_evacuated
+        let implicates_all = end != InstanceEnd::Gone
+            && !matches!(instance.listing, Listing::Removed { .. })
+            && !instance.zone_evacuated
             && !with_others;
-        suspects.retain(|suspect| implicates_all || suspect.evidence != CrashEvidence::RanThere);
+        suspects
+            .retain(|suspect| implicates_all || suspect.evidence != CrashEvidence::AfterLongRun);
         for suspect in &mut suspects {
-            if with_others && suspect.evidence == CrashEvidence::FellAtOnce {
-                suspect.evidence = CrashEvidence::OthersFell;
+            if with_others && suspect.evidence == CrashEvidence::Immediate {
+                suspect.evidence = CrashEvidence::WithOthers;
             }
         }
         suspects
@@ -96,58 +99,58 @@
 
     /// Drops the runs of a silent worker whose lease has expired.
     ///
-    /// A crash is confirmed only once another incarnation answers or the worker's entry has
+    /// A crash is confirmed only once another instance answers or the worker's entry has
     /// expired. Tasks whose starts are persisted as possible crash causes don't wait for that: a
     /// worker may take longer to return than two more attempts.
-    pub(super) fn drop_runs_of_silent_worker(&mut self, life_no: LifeNo) {
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        let worker = life.entry.key();
+    pub(super) fn drop_runs_of_silent_worker(&mut self, instance_no: InstanceNo) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        let worker = instance.entry.key();
         let recorded =
-            mem::take(&mut life.begun_before).into_iter().map(Suspect::from_recorded_start);
-        let suspects = recorded.chain(suspects_among(life, self.now)).collect::<Vec<_>>();
+            mem::take(&mut instance.inherited_starts).into_iter().map(Suspect::from_recorded_start);
+        let suspects = recorded.chain(suspects_among(instance, self.now)).collect::<Vec<_>>();
         let is_watched = |suspect: &Suspect| {
             let job = self.jobs.get(&suspect.task.job);
-            job.and_then(|job| job.task(suspect.task)).is_some_and(|task| task.watched)
+            job.and_then(|job| job.task(suspect.task)).is_some_and(|task| task.persists_starts)
         };
-        let (watched, others) = suspects.into_iter().partition::<Vec<_>, _>(is_watched);
-        if let Some(life) = self.lives.get_mut(life_no) {
-            life.suspects.extend(others);
+        let (persists_starts, others) = suspects.into_iter().partition::<Vec<_>, _>(is_watched);
+        if let Some(instance) = self.instances.get_mut(instance_no) {
+            instance.suspects.extend(others);
         }
-        self.drop_all_runs(life_no, "its worker is silent and its lease has expired");
-        self.record_crash(&worker, watched);
+        self.drop_all_runs(instance_no, "its worker is silent and its lease has expired");
+        self.record_crash(&worker, persists_starts);
     }
 
     /// Counts a crash against the tasks that may have caused it. Must be called after the runs of
-    /// that incarnation were dropped.
-    pub(super) fn record_crash(&mut self, worker: &LifeKey, suspects: Vec<Suspect>) {
+    /// that instance were dropped.
+    pub(super) fn record_crash(&mut self, worker: &InstanceKey, suspects: Vec<Suspect>) {
         for suspect in suspects {
             self.count_crash(worker, &suspect);
         }
     }
 
-    fn count_crash(&mut self, worker: &LifeKey, suspect: &Suspect) {
+    fn count_crash(&mut self, worker: &InstanceKey, suspect: &Suspect) {
         let now = self.now;
         let name = suspect.task;
         let Some(job) = self.jobs.get_mut(&name.job).filter(|job| job.is_open()) else { return };
         let Some(task) = job.task_mut(name).filter(|task| !task.done) else { return };
-        task.crashes.note(worker, suspect.evidence, suspect.ran);
-        task.watched = true;
+        task.crashes.record_crash(worker, suspect.evidence, suspect.ran);
+        task.persists_starts = true;
         let crashes = task.crashes.workers.len() as u32;
         if task.crashes.runs_alone() {
             task.not_before = Some(now + CRASH_BACKOFF * 2_u32.pow(crashes - 1));
         }
-        let is_given_up = task.crashes.is_given_up();
+        let is_blamed = task.crashes.is_blamed();
         if task.crashes.drops_checkpoint() {
             job.drop_checkpoint(name);
         }
-        self.out.push(Action::Note(Note::CrashedUnder {
+        self.out.push(Action::Log(LogEntry::CrashCounted {
             task: name,
             worker: worker.id.clone(),
             evidence: suspect.evidence,
             crashes,
         }));
         self.pending.note(name.job);
-        if is_given_up {
+        if is_blamed {
             self.fail_crashing_job(name);
         }
     }
@@ -156,24 +159,24 @@
     fn fail_crashing_job(&mut self, name: TaskName) {
         let task = self.task_mut(name);
         let workers = task.map(|task| task.crashes.workers.clone()).unwrap_or_default();
-        self.out.push(Action::Note(Note::CrashingTaskGivenUp { task: name, workers }));
+        self.out.push(Action::Log(LogEntry::CrashingTaskFailed { task: name, workers }));
         self.end_job(name.job, Outcome::Failed);
     }
 
     /// Checks the suspects that a worker reports as running. After a while others may run beside
     /// them, and later they are cleared.
-    pub(super) fn check_suspects(&mut self, life_no: LifeNo) {
-        let Some(life) = self.lives.get(life_no) else { return };
-        let suspects = life.runs().iter().filter(|(_, run)| run.suspected);
-        let confirmed =
-            suspects.filter_map(|(&task, run)| Some((task, run.run, life.known_to_run(run)?)));
+    pub(super) fn check_suspects(&mut self, instance_no: InstanceNo) {
+        let Some(instance) = self.instances.get(instance_no) else { return };
+        let suspects = instance.runs().iter().filter(|(_, run)| run.suspected);
+        let confirmed = suspects
+            .filter_map(|(&task, run)| Some((task, run.run, instance.confirmed_run_time(run)?)));
         for (task, run, ran) in confirmed.collect::<Vec<_>>() {
             let cleared = self.clear_suspect(task, ran);
-            let Some(life) = self.lives.get_mut(life_no) else { return };
-            let Some(reported_run) = life.run_mut(task, run) else { continue };
+            let Some(instance) = self.instances.get_mut(instance_no) else { return };
+            let Some(reported_run) = instance.run_mut(task, run) else { continue };
             reported_run.suspected &= !cleared;
             reported_run.alone &= ran < ISOLATION_PERIOD && !cleared;
-            life.room = None;
+            instance.free_capacity = None;
             self.placement_needed = true;
         }
     }
@@ -185,38 +188,38 @@
             return false;
         }
         task.crashes.clear();
-        self.out.push(Action::Note(Note::NoMoreSuspected { task: name }));
+        self.out.push(Action::Log(LogEntry::SuspicionCleared { task: name }));
         self.pending.note(name.job);
         true
     }
 
-    /// Returns whether several other workers fell silent at about the same time as this one.
-    fn lost_with_others(&self, life: &Life) -> bool {
-        let silent_since = life.silent_since.unwrap_or(self.now);
+    /// Returns whether several other workers became silent at about the same time as this one.
+    fn lost_with_others(&self, instance: &WorkerInstance) -> bool {
+        let unanswered_since = instance.unanswered_since.unwrap_or(self.now);
         let is_simultaneous = |time: Time| {
-            time.since(silent_since) < SIMULTANEOUS_LOSS_WINDOW
-                && silent_since.since(time) < SIMULTANEOUS_LOSS_WINDOW
+            time.since(unanswered_since) < SIMULTANEOUS_LOSS_WINDOW
+                && unanswered_since.since(time) < SIMULTANEOUS_LOSS_WINDOW
         };
-        let others = self.lives.values().filter(|other| other.id() != life.id());
+        let others = self.instances.values().filter(|other| other.id() != instance.id());
         let silent =
-            others.filter_map(|other| other.silent_since).filter(|&time| is_simultaneous(time));
+            others.filter_map(|other| other.unanswered_since).filter(|&time| is_simultaneous(time));
         let ended = self.lost_workers.iter().filter(|lost| is_simultaneous(lost.lost_at));
         silent.count() + ended.count() > MAX_INDEPENDENT_LOSSES
     }
 
-    /// Records a lost worker, to detect simultaneous losses and for its later incarnations.
-    pub(super) fn record_lost_worker(&mut self, life: &Life) {
+    /// Records a lost worker, to detect simultaneous losses and for its later instances.
+    pub(super) fn record_lost_worker(&mut self, instance: &WorkerInstance) {
         let now = self.now;
         self.lost_workers.retain(|lost| now.since(lost.lost_at) < LOST_WORKER_RETENTION);
-        let lost_at = life.silent_since.unwrap_or(now);
-        let (worker, address) = (life.id().clone(), life.entry.address.clone());
-        self.lost_workers.push(LostWorker { lost_at, worker, address, token: life.token });
+        let lost_at = instance.unanswered_since.unwrap_or(now);
+        let (worker, address) = (instance.id().clone(), instance.entry.address.clone());
+        self.lost_workers.push(LostWorker { lost_at, worker, address, token: instance.token });
     }
 
-    /// Returns the highest fencing token of a worker's recently ended incarnations.
-    pub(super) fn lost_worker_token(&self, worker: &LifeId) -> Option<u64> {
-        let lives = self.lost_workers.iter().filter(|lost| lost.worker == *worker);
-        lives.map(|lost| lost.token).max()
+    /// Returns the highest fencing token of a worker's recently ended instances.
+    pub(super) fn lost_worker_token(&self, worker: &WorkerName) -> Option<u64> {
+        let instances = self.lost_workers.iter().filter(|lost| lost.worker == *worker);
+        instances.map(|lost| lost.token).max()
     }
 
     /// Returns whether a worker was recently lost at an address.
@@ -226,19 +229,19 @@
 }
 
 /// Returns the runs that may have made a worker fall silent: recently started ones, or else all.
-pub(super) fn suspects_among(life: &Life, now: Time) -> Vec<Suspect> {
-    let ordered = life.runs().iter().filter(|&(&task, run)| life.was_sent(task, run));
+pub(super) fn suspects_among(instance: &WorkerInstance, now: Time) -> Vec<Suspect> {
+    let ordered = instance.runs().iter().filter(|&(&task, run)| instance.was_sent(task, run));
     let ordered = ordered.collect::<Vec<_>>();
-    let any_started = ordered.iter().any(|(_, run)| is_recently_started(life, run));
+    let any_started = ordered.iter().any(|(_, run)| is_recently_started(instance, run));
     let suspects =
-        ordered.into_iter().filter(|(_, run)| !any_started || is_recently_started(life, run));
-    let suspect = |(&task, run): (&TaskName, &RunThere)| {
-        let ran = run_duration_bounds(life, run, now);
+        ordered.into_iter().filter(|(_, run)| !any_started || is_recently_started(instance, run));
+    let suspect = |(&task, run): (&TaskName, &PlacedRun)| {
+        let ran = run_duration_bounds(instance, run, now);
         let evidence = match any_started {
-            false => CrashEvidence::RanThere,
+            false => CrashEvidence::AfterLongRun,
             true if !run.is_running() => CrashEvidence::Unconfirmed,
             true if u128::from(ran.most_ms) <= IMMEDIATE_CRASH_WINDOW.as_millis() => {
-                CrashEvidence::FellAtOnce
+                CrashEvidence::Immediate
             }
             true => CrashEvidence::JustStarted,
         };
@@ -247,15 +250,16 @@
     suspects.map(suspect).collect()
 }
 
-/// Returns whether a run may have started just before its worker fell silent.
-fn is_recently_started(life: &Life, run: &RunThere) -> bool {
-    !run.adopted && life.known_to_run(run).is_none_or(|ran| ran < RECENT_START_WINDOW)
+/// Returns whether a run may have started just before its worker became silent.
+fn is_recently_started(instance: &WorkerInstance, run: &PlacedRun) -> bool {
+    !run.started_by_predecessor
+        && instance.confirmed_run_time(run).is_none_or(|ran| ran < RECENT_START_WINDOW)
 }
 
-/// Returns how long a run had lasted when its worker fell silent.
-fn run_duration_bounds(life: &Life, run: &RunThere, now: Time) -> RanFor {
-    let Phase::Running(since) = run.phase else { return RanFor::UNKNOWN };
-    let least_ran = life.known_to_run(run).unwrap_or_default();
-    let most_ran = life.silent_since.unwrap_or(now).since(since).max(least_ran);
-    RanFor { least_ms: least_ran.as_millis() as u64, most_ms: most_ran.as_millis() as u64 }
+/// Returns how long a run had lasted when its worker became silent.
+fn run_duration_bounds(instance: &WorkerInstance, run: &PlacedRun, now: Time) -> RunTimeBounds {
+    let Phase::Running(since) = run.phase else { return RunTimeBounds::UNKNOWN };
+    let least_ran = instance.confirmed_run_time(run).unwrap_or_default();
+    let most_ran = instance.unanswered_since.unwrap_or(now).since(since).max(least_ran);
+    RunTimeBounds { least_ms: least_ran.as_millis() as u64, most_ms: most_ran.as_millis() as u64 }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/ends.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/ends.rs
@@ -5,12 +5,12 @@
 use super::{
     super::{
         event::Action,
-        life::{JustEnded, LifeNo},
+        instance::{InstanceNo, JustEnded},
+        log_entry::LogEntry,
         names::TaskName,
-        note::Note,
         record::Outcome,
-        report::{HowEnded, RunEnd},
-        run::{FULL_PACE_PERCENT, Phase, RunThere},
+        report::{RunEnd, RunResult},
+        run::{FULL_PACE_PERCENT, Phase, PlacedRun},
         steps::Placement,
     },
     Scheduler,
@@ -23,65 +23,78 @@
 
 impl Scheduler {
     /// Handles an end that a worker reports. Repeated reports are ignored.
-    pub(super) fn handle_run_end(&mut self, life_no: LifeNo, end: &RunEnd) {
+    pub(super) fn handle_run_end(&mut self, instance_no: InstanceNo, end: &RunEnd) {
         let now = self.now;
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        if end.number <= life.ends_seen {
-            return self.log_ignored_end(life_no, end);
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        if end.number <= instance.last_end_received {
+            return self.log_ignored_end(instance_no, end);
         }
-        life.ends_seen = end.number;
-        let ended = life.remove_run(end.task, end.run);
-        let done = ended.as_ref().filter(|_| end.how == HowEnded::Done);
+        instance.last_end_received = end.number;
+        let ended = instance.remove_run(end.task, end.run);
+        let done = ended.as_ref().filter(|_| end.how == RunResult::Done);
         let run_duration_ms = done.and_then(|run| run_duration_ms(run, now));
-        if let Some(run) = ended.filter(|run| run.fills) {
+        if let Some(run) = ended.filter(|run| run.is_best_effort) {
             let cpu_millis = run.gauge.unwrap_or(run.size.cpu_millis.0);
-            life.just_ended.push(JustEnded { image: run.image, cpu_millis, at: now });
+            instance.just_ended.push(JustEnded { image: run.image, cpu_millis, at: now });
         }
-        self.pending.note_end(life_no, end.number);
+        self.pending.note_end(instance_no, end.number);
         self.record_duration(end.task, run_duration_ms);
-        self.apply_run_end(life_no, end);
+        self.apply_run_end(instance_no, end);
     }
 
-    /// Handles ends of an earlier incarnation of a worker that arrive in a late answer.
+    /// Handles ends of an earlier instance of a worker that arrive in a late answer.
     ///
     /// The ends are valid regardless of who reports them, but their numbers belong to the earlier
-    /// incarnation only.
-    pub(super) fn handle_ends_of_earlier_incarnation(&mut self, life_no: LifeNo, ended: &[RunEnd]) {
+    /// instance only.
+    pub(super) fn handle_ends_of_earlier_incarnation(
+        &mut self,
+        instance_no: InstanceNo,
+        ended: &[RunEnd],
+    ) {
         for end in ended {
-            self.apply_run_end(life_no, end);
+            self.apply_run_end(instance_no, end);
         }
     }
 
     /// Applies the end of a run to its task and its job.
-    fn apply_run_end(&mut self, life_no: LifeNo, end: &RunEnd) {
-        let Some(worker) = self.lives.get(life_no).map(|life| life.id().clone()) else { return };
-        let note = Note::RunEnded { task: end.task, run: end.run, worker, how: end.how };
-        self.out.push(Action::Note(note));
+    fn apply_run_end(&mut self, instance_no: InstanceNo, end: &RunEnd) {
+        let Some(worker) = self.instances.get(instance_no).map(|instance| instance.id().clone())
+        else {
+            return;
+        };
+        let entry = LogEntry::RunEnded { task: end.task, run: end.run, worker, how: end.how };
+        self.out.push(Action::Log(entry));
         self.placement_needed = true;
-        self.remove_placement(end.task, Placement { life: life_no, run: end.run });
+        self.remove_placement(end.task, Placement { instance: instance_no, run: end.run });
         self.update_checkpoint(end);
         match end.how {
-            HowEnded::Done => self.complete_task(life_no, end.task),
-            HowEnded::Failed => self.record_failed_run(life_no, end),
-            HowEnded::Stopped | HowEnded::Lapsed | HowEnded::Broken | HowEnded::Alone => {}
+            RunResult::Done => self.complete_task(instance_no, end.task),
+            RunResult::Failed => self.record_failed_run(instance_no, end),
+            RunResult::Stopped | RunResult::Lapsed | RunResult::Broken | RunResult::Alone => {}
         }
     }
 
     /// Logs an end whose number was already seen although its run is considered active. A run whose
     /// end is merely repeated was removed when the end was first reported.
-    fn log_ignored_end(&mut self, life_no: LifeNo, end: &RunEnd) {
-        let Some(life) = self.lives.get(life_no) else { return };
-        if life.runs().get(&end.task).is_some_and(|active_run| active_run.run == end.run) {
+    fn log_ignored_end(&mut self, instance_no: InstanceNo, end: &RunEnd) {
+        let Some(instance) = self.instances.get(instance_no) else { return };
+        if instance.runs().get(&end.task).is_some_and(|active_run| active_run.run == end.run) {
             let RunEnd { task, run, number, .. } = *end;
-            let (worker, seen) = (life.id().clone(), life.ends_seen);
-            self.out.push(Action::Note(Note::EndPassedOver { task, run, worker, number, seen }));
+            let (worker, seen) = (instance.id().clone(), instance.last_end_received);
+            self.out.push(Action::Log(LogEntry::DuplicateEndIgnored {
+                task,
+                run,
+                worker,
+                number,
+                seen,
+            }));
         }
     }
 
     fn update_checkpoint(&mut self, end: &RunEnd) {
         let Some(task) = self.task_mut(end.task) else { return };
         task.last_run = task.last_run.max(end.run);
-        task.unaccounted = false;
+        task.maybe_started_before = false;
         if end.checkpoint.is_some() {
             task.checkpoint.clone_from(&end.checkpoint);
         }
@@ -91,56 +104,57 @@
         let Some(run_duration_ms) = run_duration_ms else { return };
         let job = self.jobs.get_mut(&name.job);
         if let Some(step) = job.and_then(|job| job.step_mut(name.step_name())) {
-            step.timed += 1;
-            step.timed_ms += run_duration_ms;
+            step.completed_runs += 1;
+            step.completed_runs_ms += run_duration_ms;
         }
     }
 
-    fn complete_task(&mut self, life_no: LifeNo, name: TaskName) {
-        if let Some(life) = self.lives.get_mut(life_no) {
-            life.failures = 0;
-            life.set_aside_times = 0;
+    fn complete_task(&mut self, instance_no: InstanceNo, name: TaskName) {
+        if let Some(instance) = self.instances.get_mut(instance_no) {
+            instance.failures = 0;
+            instance.quarantine_count = 0;
         }
         let Some(job) = self.jobs.get_mut(&name.job).filter(|job| job.is_open()) else { return };
         let Some(spec) = job.step_spec(name.step) else { return };
         let gang = spec.gang;
-        if spec.lasts {
+        if spec.long_running {
             // The task was to run until its job is cancelled, so it waits for a worker again.
             return;
         }
         let Some(step) = job.step_mut(name.step_name()) else { return };
         let copies = step.mark_done(name, gang);
         // Steps that depend on this one may now be ready.
-        job.may_wait = true;
+        job.may_have_waiting_tasks = true;
         let all_done = job.all_done();
-        job.forget_done_occurrences();
+        job.remove_done_occurrences();
         self.pending.note(name.job);
         // Other members of a gang end on their own; speculative copies of a task must be stopped.
         for placed in copies.into_iter().filter(|_| !gang) {
-            self.stop_run(placed.life, name, placed.run);
+            self.stop_run(placed.instance, name, placed.run);
         }
         if all_done {
             self.end_job(name.job, Outcome::Completed);
         }
     }
 
-    fn record_failed_run(&mut self, life_no: LifeNo, end: &RunEnd) {
+    fn record_failed_run(&mut self, instance_no: InstanceNo, end: &RunEnd) {
         let now = self.now;
         let name = end.task;
-        self.record_run_failure(life_no);
+        self.record_run_failure(instance_no);
         let Some(job) = self.jobs.get_mut(&name.job).filter(|job| job.is_open()) else { return };
         let Some(spec) = job.step_spec(name.step) else { return };
-        let (gang, lasts, max_attempts) = (spec.gang, spec.lasts, job.queue.max_attempts);
+        let (gang, long_running, max_attempts) =
+            (spec.gang, spec.long_running, job.queue.max_attempts);
         let Some(task) = job.task_mut(name).filter(|task| !task.done) else { return };
-        if !lasts {
+        if !long_running {
             task.failed_runs.insert(end.run);
         }
-        task.avoid = Some(life_no);
+        task.avoided_instance = Some(instance_no);
         let failed = task.failed_runs.len() as u32;
         task.not_before = Some(now + RETRY_BACKOFF * failed.max(1));
         let failed = if gang { job.failed_runs_of_gang(name.step_name()) } else { failed };
         self.pending.note(name.job);
-        if !lasts && failed >= max_attempts.max(1) {
+        if !long_running && failed >= max_attempts.max(1) {
             self.end_job(name.job, Outcome::Failed);
         }
     }
@@ -148,9 +162,9 @@
 
 /// Returns the duration of a completed run, in milliseconds, or `None` if it does not represent the
 /// whole task: the run resumed from a checkpoint or was throttled.
-fn run_duration_ms(run: &RunThere, now: Time) -> Option<u64> {
+fn run_duration_ms(run: &PlacedRun, now: Time) -> Option<u64> {
     let Phase::Running(since) = run.phase else { return None };
-    let paced = run.fills && run.paced_percent < FULL_PACE_PERCENT;
+    let paced = run.is_best_effort && run.paced_percent < FULL_PACE_PERCENT;
     let is_representative = run.progress.from_percent == 0 && !paced;
     is_representative.then(|| now.since(since).as_millis() as u64)
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/room.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/free_capacity.rs
@@ -3,7 +3,7 @@
 use std::cell::OnceCell;
 
 use super::{
-    super::{life::Life, run::RunThere, spec::StepSpec},
+    super::{instance::WorkerInstance, run::PlacedRun, spec::StepSpec},
     headroom::Headroom,
     tails::{ImageNo, Load, TailModel},
 };
@@ -21,8 +21,8 @@
 
 /// The remaining capacity of a worker, and what else its score depends on.
 #[derive(Debug, Clone)]
-pub(in crate::jobs) struct Room {
-    pub(super) left: Remaining,
+pub(in crate::jobs) struct FreeCapacity {
+    pub(super) free: Remaining,
     /// Whether a task suspected of crashing workers runs alone on the worker.
     pub(super) has_lone_suspect: bool,
     /// The number of short tasks on the worker: those that reserve processor time and end by
@@ -52,7 +52,7 @@
     /// A best-effort task reserves no processor time: it is started where enough is left.
     pub(super) fn fits(&self, spec: &StepSpec) -> bool {
         let Resources { cpu_millis, memory_mb, accelerators } = spec.size;
-        match spec.fills {
+        match spec.best_effort {
             true => {
                 memory_mb <= self.free.memory_mb
                     && accelerators <= self.free.accelerators
@@ -75,10 +75,10 @@
     }
 }
 
-impl Room {
-    pub(super) fn of(life: &Life) -> Self {
-        let Usage { reserved, used_millis, best_effort_millis, short_tasks } = Usage::of(life);
-        let capacity = life.entry.capacity;
+impl FreeCapacity {
+    pub(super) fn of(instance: &WorkerInstance) -> Self {
+        let Usage { reserved, used_millis, best_effort_millis, short_tasks } = Usage::of(instance);
+        let capacity = instance.entry.capacity;
         let cpu = capacity.cpu_millis.0;
         let free = subtract(&capacity, &reserved);
         let max_committed = cpu / 100 * MAX_COMMITTED_PERCENT;
@@ -86,8 +86,8 @@
             max_committed.saturating_sub(used_millis + best_effort_millis);
         let share = |left: u32| f64::from(left) / f64::from(cpu.max(1));
         Self {
-            left: Remaining { free, best_effort_millis_left },
-            has_lone_suspect: life.runs().values().any(|run| run.alone),
+            free: Remaining { free, best_effort_millis_left },
+            has_lone_suspect: instance.runs().values().any(|run| run.alone),
             short_tasks,
             free_share: share(free.cpu_millis.0),
             best_effort_share: share(best_effort_millis_left),
@@ -95,9 +95,9 @@
         }
     }
 
-    /// Returns the headroom of the serving tasks on `life`, the worker that this room belongs to.
-    pub(super) fn headroom(&self, life: &Life, tails: &TailModel) -> &Headroom {
-        self.headroom.get_or_init(|| Headroom::of(life, tails))
+    /// Returns the headroom of the serving tasks on `instance`, the worker that this belongs to.
+    pub(super) fn headroom(&self, instance: &WorkerInstance, tails: &TailModel) -> &Headroom {
+        self.headroom.get_or_init(|| Headroom::of(instance, tails))
     }
 }
 
@@ -115,14 +115,14 @@
 }
 
 impl Usage {
-    fn of(life: &Life) -> Self {
+    fn of(instance: &WorkerInstance) -> Self {
         let mut usage = Self::default();
-        for run in life.runs().values() {
+        for run in instance.runs().values() {
             let cpu_millis = run.size.cpu_millis.0;
-            let reserved_millis = if run.fills { 0 } else { cpu_millis };
+            let reserved_millis = if run.is_best_effort { 0 } else { cpu_millis };
             usage.best_effort_millis += cpu_millis - reserved_millis;
-            usage.short_tasks += u32::from(!run.fills && !run.lasts);
-            usage.used_millis += if run.fills { 0 } else { used_millis(run) };
+            usage.short_tasks += u32::from(!run.is_best_effort && !run.is_long_running);
+            usage.used_millis += if run.is_best_effort { 0 } else { used_millis(run) };
             let reserved = Resources { cpu_millis: CpuMillis(reserved_millis), ..run.size };
             usage.reserved = usage.reserved.saturating_add(&reserved);
         }
@@ -132,14 +132,14 @@
 
 /// Returns whether the runs on a worker, including those being started or stopped, reserve more
 /// than it has.
-pub(super) fn is_overcommitted(life: &Life) -> bool {
-    !Usage::of(life).reserved.fits_in(&life.entry.capacity)
+pub(super) fn is_overcommitted(instance: &WorkerInstance) -> bool {
+    !Usage::of(instance).reserved.fits_in(&instance.entry.capacity)
 }
 
 /// Returns the processor time that a run uses of its reservation, in thousandths of a core: the own
 /// load of a serving task, and all of it for any other.
-fn used_millis(run: &RunThere) -> u32 {
-    let share = if run.serves() { run.own_stress.mean.min(1.0) } else { 1.0 };
+fn used_millis(run: &PlacedRun) -> u32 {
+    let share = if run.is_serving() { run.own_stress.mean.min(1.0) } else { 1.0 };
     (f64::from(run.size.cpu_millis.0) * share) as u32
 }
 
@@ -155,15 +155,15 @@
 }
 
 /// Returns the load of the best-effort tasks on a worker at full speed, by image.
-pub(super) fn full_loads(life: &Life) -> Vec<Load> {
-    loads_by(life, |run| f64::from(run.size.cpu_millis.0))
+pub(super) fn full_loads(instance: &WorkerInstance) -> Vec<Load> {
+    loads_by(instance, |run| f64::from(run.size.cpu_millis.0))
 }
 
 /// Returns the load of the best-effort tasks on a worker, by image, as a share of its capacity.
-pub(super) fn loads_by(life: &Life, millis: impl Fn(&RunThere) -> f64) -> Vec<Load> {
-    let capacity = capacity_millis(life);
+pub(super) fn loads_by(instance: &WorkerInstance, millis: impl Fn(&PlacedRun) -> f64) -> Vec<Load> {
+    let capacity = capacity_millis(instance);
     let mut loads = Vec::<Load>::new();
-    for run in life.runs().values().filter(|run| run.fills) {
+    for run in instance.runs().values().filter(|run| run.is_best_effort) {
         let load = millis(run) / capacity;
         match loads.iter_mut().find(|(image, _)| *image == run.image) {
             Some((_, sum)) => *sum += load,
@@ -185,6 +185,6 @@
 }
 
 /// Returns the processor time of a worker, in thousandths of a core.
-pub(super) fn capacity_millis(life: &Life) -> f64 {
-    f64::from(life.entry.capacity.cpu_millis.0.max(1))
+pub(super) fn capacity_millis(instance: &WorkerInstance) -> f64 {
+    f64::from(instance.entry.capacity.cpu_millis.0.max(1))
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/pass.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pass.rs
@@ -3,18 +3,18 @@
 
 use super::{
     super::{
-        life::{Life, LifeNo},
+        instance::{InstanceNo, WorkerInstance},
         spec::StepSpec,
     },
     Scheduler,
+    free_capacity::Remaining,
     lateness::Lateness,
-    room::Remaining,
 };
 
 /// A worker that takes work, and its remaining capacity when the pass began.
 #[derive(Debug)]
 struct Candidate {
-    worker_no: LifeNo,
+    instance_no: InstanceNo,
     left: Remaining,
 }
 
@@ -37,16 +37,16 @@
 impl PlacementPass {
     /// Returns the workers that may have room for a task. Workers only get fuller during a pass, so
     /// one without room when it began has none now.
-    pub(super) fn with_room_for(&self, spec: &StepSpec) -> impl Iterator<Item = LifeNo> {
+    pub(super) fn with_room_for(&self, spec: &StepSpec) -> impl Iterator<Item = InstanceNo> {
         let with_room = self.candidates.iter().filter(|candidate| candidate.left.fits(spec));
-        with_room.map(|candidate| candidate.worker_no)
+        with_room.map(|candidate| candidate.instance_no)
     }
 
     /// Returns whether a step needs at least as much as one that found no room, and is otherwise
     /// equivalent.
     pub(super) fn has_no_room_for(&self, spec: &StepSpec, lateness: Lateness) -> bool {
         self.steps_without_room.iter().any(|(unplaced, unplaced_lateness)| {
-            unplaced.fills == spec.fills
+            unplaced.best_effort == spec.best_effort
                 && unplaced_lateness.max_added_penalty() >= lateness.max_added_penalty()
                 && unplaced.image == spec.image
                 && unplaced.size.fits_in(&spec.size)
@@ -58,7 +58,7 @@
     pub(super) fn note_no_room(&mut self, spec: StepSpec, lateness: Lateness) {
         // Room is kept only for short tasks whose jobs can complete in time, however many late ones
         // wait.
-        if !spec.fills && !spec.lasts && lateness == Lateness::InTime {
+        if !spec.best_effort && !spec.long_running && lateness == Lateness::InTime {
             self.short_waiting += spec.count;
         }
         if spec.label.is_none() && spec.max_per_worker.is_none() {
@@ -71,11 +71,12 @@
     /// Begins a placement pass over the waiting jobs.
     pub(super) fn begin_pass(&mut self) -> PlacementPass {
         self.refresh_rooms();
-        let candidate = |(worker_no, life): (LifeNo, &Life)| {
-            let room = life.room.as_ref().filter(|_| life.takes_work(self.now))?;
-            Some(Candidate { worker_no, left: room.left })
+        let candidate = |(instance_no, instance): (InstanceNo, &WorkerInstance)| {
+            let free_capacity =
+                instance.free_capacity.as_ref().filter(|_| instance.accepts_work(self.now))?;
+            Some(Candidate { instance_no, left: free_capacity.free })
         };
-        let candidates = self.lives.iter().filter_map(candidate).collect();
+        let candidates = self.instances.iter().filter_map(candidate).collect();
         PlacementPass {
             candidates,
             steps_without_room: Vec::new(),
--- /dev/null
+++ b/crates/kitetrail-core/src/jobs/scheduler/polls.rs
@@ -0,0 +1,116 @@
+//! Sends polls, the long-polling requests that ask workers what they run and renew their leases.
+
+use std::{sync::Arc, time::Duration};
+
+use super::{
+    super::{
+        event::Action,
+        instance::{InstanceNo, Leasing, WorkerInstance},
+        report::Poll,
+    },
+    Scheduler,
+};
+
+/// The longest time that a worker may wait for an end before it answers a poll, in milliseconds. It
+/// bounds how late slow tasks are noticed; the platform accepts up to 2,000 ms.
+const POLL_WAIT_MS: u32 = 900;
+/// The same for workers that run serving and best-effort tasks side by side, where tail
+/// latencies change within seconds.
+const POLL_WAIT_SHARED_MS: u32 = 500;
+/// The pause before the next poll, so that ends that occur close together share one answer.
+const POLL_PAUSE: Duration = Duration::from_millis(120);
+/// The same for a worker that runs nothing, of which only the health matters.
+const POLL_PAUSE_IDLE: Duration = Duration::from_millis(5_000);
+/// The same for a worker that runs nothing but has ends that were not acknowledged yet. They are
+/// persisted within about 100 ms, and nothing else is expected of it.
+const POLL_PAUSE_UNACKNOWLEDGED: Duration = Duration::from_millis(600);
+/// The increment of the pause for each failed poll in a row.
+const POLL_RETRY_STEP: Duration = Duration::from_millis(150);
+/// The number of polls a second that an owner aims at for workers that run something and answer in
+/// the usual time. Each poll takes about 60 µs, so the limit leaves the owner of a large fleet time
+/// for other work. Retries and polls after a start come on top.
+const TARGET_POLLS_PER_S: f64 = 2_000.0;
+/// The duration of a poll and the pause after it without rate limiting: the shortest wait and
+/// [`POLL_PAUSE`].
+const USUAL_POLL_CYCLE: Duration = Duration::from_millis(620);
+/// The longest pause between retries.
+const MAX_POLL_RETRY: Duration = Duration::from_millis(1_000);
+
+impl Scheduler {
+    /// Sends a poll to a worker if one is due.
+    pub(super) fn send_poll_if_due(&mut self, instance_no: InstanceNo) {
+        let (now, lease, lease_expiry_delay) = (self.now, self.lease, self.lease_expiry_delay());
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        if instance.poll_in_flight || instance.next_poll_at.is_none_or(|due_at| due_at > now) {
+            return;
+        }
+        let acknowledged_end = instance.end_to_acknowledge();
+        if acknowledged_end > 0 && instance.has_start_in_flight() {
+            // The answer to the start shows whether a later instance received it. That one must
+            // not get the acknowledgement, which it would apply to its own ends.
+            return;
+        }
+        let wait_ms = wait_ms(instance);
+        // The lease of a silent worker is left to expire, because even an unanswered renewal may
+        // take effect.
+        let may_lease = instance.unanswered_polls == 0 && instance.leasing == Leasing::Allowed;
+        let lease_clock_ms = instance.clock_ms(now).filter(|_| may_lease);
+        let lease_until_ms = lease_clock_ms.map(|clock_ms| clock_ms + lease.as_millis() as u64);
+        if lease_until_ms.is_some() {
+            instance.extend_leases(lease_expiry_delay, now);
+        }
+        instance.poll_in_flight = true;
+        let poll = Poll { token: instance.token, lease_until_ms, acknowledged_end, wait_ms };
+        self.out.push(Action::Poll {
+            instance: instance_no,
+            entry: Arc::clone(&instance.entry),
+            poll,
+        });
+    }
+
+    /// Schedules the next poll to a worker.
+    ///
+    /// Where a tail latency is above its target, neither a large fleet nor a lagging owner delays
+    /// polls, because best-effort tasks there are halted based on these reports.
+    pub(super) fn schedule_poll(&mut self, instance_no: InstanceNo) {
+        let now = self.now;
+        let fleet_cycle = Duration::from_secs_f64(self.instances.len() as f64 / TARGET_POLLS_PER_S);
+        let extra_pause = fleet_cycle.saturating_sub(USUAL_POLL_CYCLE);
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        let pause = match instance.unanswered_polls {
+            0 if instance.contested => POLL_PAUSE,
+            0 if instance.runs().is_empty()
+                && instance.last_end_acknowledged >= instance.last_end_received =>
+            {
+                POLL_PAUSE_IDLE
+            }
+            0 if instance.runs().is_empty() => POLL_PAUSE_UNACKNOWLEDGED,
+            0 if instance.exceeds_tail_target() => POLL_PAUSE,
+            0 => POLL_PAUSE + extra_pause + self.overload.poll_pause(),
+            failed_polls => (POLL_RETRY_STEP * failed_polls).min(MAX_POLL_RETRY),
+        };
+        instance.next_poll_at = Some(now + pause);
+    }
+
+    /// Brings the next poll to a worker forward, because a change is expected.
+    pub(super) fn schedule_poll_within(&mut self, instance_no: InstanceNo, pause: Duration) {
+        let due_at = self.now + pause;
+        if let Some(instance) = self.instances.get_mut(instance_no) {
+            instance.next_poll_at =
+                Some(instance.next_poll_at.map_or(due_at, |due| due.min(due_at)));
+        }
+    }
+}
+
+/// Returns how long a worker may wait for an end before it answers, in milliseconds.
+fn wait_ms(instance: &WorkerInstance) -> u32 {
+    let is_leased = instance.unanswered_polls == 0 && instance.leasing == Leasing::Allowed;
+    let immediate =
+        !is_leased || instance.contested || !instance.has_reported || instance.runs().is_empty();
+    let shared = instance.has_serving() && instance.has_best_effort();
+    match (immediate, shared) {
+        (true, _) => 0,
+        (false, true) => POLL_WAIT_SHARED_MS,
+        (false, false) => POLL_WAIT_MS,
+    }
+}
--- a/crates/kitetrail-core/src/jobs/scheduler/short_work.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/short_work.rs
@@ -5,7 +5,7 @@
 use super::{
     super::{names::TaskName, spec::StepSpec},
     Scheduler,
-    room::capacity_millis,
+    free_capacity::capacity_millis,
 };
 use crate::Time;
 
@@ -80,13 +80,16 @@
     pub(super) fn update_short_work_need(&mut self, waiting: u32) {
         self.refresh_rooms();
         let (mut running, mut total_millis) = (0, 0.0);
-        for life in self.lives.values() {
-            running += life.room.as_ref().map_or(0, |room| room.short_tasks);
-            total_millis += capacity_millis(life);
+        for instance in self.instances.values() {
+            running += instance
+                .free_capacity
+                .as_ref()
+                .map_or(0, |free_capacity| free_capacity.short_tasks);
+            total_millis += capacity_millis(instance);
         }
         self.short_work.update_need(running + waiting, self.now);
         self.short_work.waiting = waiting;
-        self.short_work.capacity_millis = total_millis / self.lives.len().max(1) as f64;
+        self.short_work.capacity_millis = total_millis / self.instances.len().max(1) as f64;
     }
 
     /// Returns whether a long-running task that never ran waits so that short tasks find room.
@@ -96,7 +99,7 @@
     pub(super) fn is_held_back(&mut self, name: TaskName, spec: &StepSpec) -> bool {
         let Some(job) = self.jobs.get(&name.job) else { return false };
         let is_new = job.task(name).is_some_and(|task| task.last_run == 0);
-        if !spec.lasts || !is_new || self.short_work.average_tasks < MIN_NEED {
+        if !spec.long_running || !is_new || self.short_work.average_tasks < MIN_NEED {
             return false;
         }
         let accepted_at = job.accepted_at;
@@ -108,7 +111,7 @@
     /// Returns whether a long-running task would take room that short tasks need, wherever it were
     /// placed.
     pub(super) fn takes_room_of_short_work(&mut self, spec: &StepSpec) -> bool {
-        let is_relevant = spec.lasts && self.short_work.average_tasks >= MIN_NEED;
+        let is_relevant = spec.long_running && self.short_work.average_tasks >= MIN_NEED;
         is_relevant && self.scarcity_and_places(spec.size.cpu_millis.0).0
     }
 
@@ -126,10 +129,10 @@
     fn short_slots_and_places(&mut self, cpu_millis: u32) -> (u32, u32) {
         self.refresh_rooms();
         let (mut slots, mut places) = (0, 0);
-        for life in self.lives.values().filter(|life| life.takes_work(self.now)) {
-            let Some(room) = &life.room else { continue };
-            let free_millis = room.left.free.cpu_millis.0;
-            slots += self.short_work.slots_in(free_millis) + room.short_tasks;
+        for instance in self.instances.values().filter(|instance| instance.accepts_work(self.now)) {
+            let Some(free_capacity) = &instance.free_capacity else { continue };
+            let free_millis = free_capacity.free.free.cpu_millis.0;
+            slots += self.short_work.slots_in(free_millis) + free_capacity.short_tasks;
             places += free_millis / cpu_millis.max(1);
         }
         (slots, places)
--- a/crates/kitetrail-core/src/jobs/scheduler/unlisted.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/unlisted.rs
@@ -10,9 +10,9 @@
 
 use super::{
     super::{
-        life::{LifeNo, Listing},
-        names::{LifeId, TaskName},
-        run::RunThere,
+        instance::{InstanceNo, Listing},
+        names::{TaskName, WorkerName},
+        run::PlacedRun,
     },
     Scheduler,
 };
@@ -34,9 +34,9 @@
     pub(super) fn record_store_outage(&mut self, until: Time) {
         self.store_outage_until = self.store_outage_until.max(Some(until));
         let (now, returns_by) = (self.now, until + RELIST_GRACE_PERIOD);
-        for life in self.lives.values_mut() {
-            match &mut life.listing {
-                Listing::Gone { certain_at } if *certain_at > now => {
+        for instance in self.instances.values_mut() {
+            match &mut instance.listing {
+                Listing::Removed { certain_at } if *certain_at > now => {
                     *certain_at = returns_by.max(*certain_at);
                 }
                 _ => {}
@@ -46,18 +46,19 @@
 
     /// Handles the removal of a worker's entry from the list, given the time since its last
     /// heartbeat.
-    pub(super) fn handle_unlisted(&mut self, id: &LifeId, silent_for: Option<Duration>) {
-        for life_no in self.lives.of_worker(id).to_vec() {
-            self.mark_unlisted(life_no, self.classify_removal(silent_for));
+    pub(super) fn handle_unlisted(&mut self, id: &WorkerName, silent_for: Option<Duration>) {
+        for instance_no in self.instances.of_worker(id).to_vec() {
+            self.mark_unlisted(instance_no, self.classify_removal(silent_for));
         }
     }
 
     /// Marks workers as unlisted that earlier owners used and that the complete list does not
     /// contain.
     pub(super) fn mark_unread_unlisted(&mut self) {
-        let unread = self.lives.iter().filter(|(_, life)| life.listing == Listing::Unread);
-        for life_no in unread.map(|(life_no, _)| life_no).collect::<Vec<_>>() {
-            self.mark_unlisted(life_no, self.classify_removal(None));
+        let unread =
+            self.instances.iter().filter(|(_, instance)| instance.listing == Listing::Unread);
+        for instance_no in unread.map(|(instance_no, _)| instance_no).collect::<Vec<_>>() {
+            self.mark_unlisted(instance_no, self.classify_removal(None));
         }
     }
 
@@ -66,10 +67,11 @@
     /// A worker marked `draining` may be emptied at once. One that is only missing from the list
     /// may be healthy, so the number of missing tasks of a step must stay within the limit set by
     /// the caller.
-    pub(super) fn may_move_run(&self, life_no: LifeNo, task: TaskName) -> bool {
-        let draining = self.lives.get(life_no).is_some_and(|life| life.entry.draining);
-        let may_miss = self.step_spec(task).and_then(|spec| spec.may_miss);
-        draining || may_miss.is_none_or(|may_miss| self.others_missing(task) < may_miss as usize)
+    pub(super) fn may_move_run(&self, instance_no: InstanceNo, task: TaskName) -> bool {
+        let draining =
+            self.instances.get(instance_no).is_some_and(|instance| instance.entry.draining);
+        let max_unavailable = self.step_spec(task).and_then(|spec| spec.max_unavailable);
+        draining || max_unavailable.is_none_or(|limit| self.others_missing(task) < limit as usize)
     }
 
     /// Returns what the removal of an entry at this moment means.
@@ -81,23 +83,23 @@
         let store_was_up =
             |silent_for| outage_until.is_none_or(|until| now.since(until) > silent_for);
         match lapsed {
-            Some(silent_for) if store_was_up(silent_for) => Listing::Lapsed,
+            Some(silent_for) if store_was_up(silent_for) => Listing::Expired,
             _ => {
                 let returns_by = outage_until.map(|until| until + RELIST_GRACE_PERIOD);
-                Listing::Gone { certain_at: returns_by.map_or(now, |time| time.max(now)) }
+                Listing::Removed { certain_at: returns_by.map_or(now, |time| time.max(now)) }
             }
         }
     }
 
-    fn mark_unlisted(&mut self, life_no: LifeNo, listing: Listing) {
-        let Some(life) = self.lives.get_mut(life_no) else { return };
-        life.listing = listing;
-        let belief = match listing {
-            Listing::Lapsed => "not listed: its heartbeats stopped",
+    fn mark_unlisted(&mut self, instance_no: InstanceNo, listing: Listing) {
+        let Some(instance) = self.instances.get_mut(instance_no) else { return };
+        instance.listing = listing;
+        let state = match listing {
+            Listing::Expired => "not listed: its heartbeats stopped",
             _ => "not listed",
         };
-        self.log_worker_state(life_no, belief);
-        self.schedule_hold_within(life_no, Duration::ZERO);
+        self.log_worker_state(instance_no, state);
+        self.schedule_poll_within(instance_no, Duration::ZERO);
     }
 
     /// Returns the number of other tasks of the step that are not known to be working.
@@ -105,17 +107,22 @@
         let step = self.jobs.get(&task.job).and_then(|job| job.step(task.step_name()));
         let count = step.map_or(0, |step| step.tasks.len()) as u32;
         let others = (0..count).filter(|&index| index != task.index);
-        others.filter(|&index| !self.is_at_work(TaskName { index, ..task })).count()
+        others.filter(|&index| !self.reports_ready(TaskName { index, ..task })).count()
     }
 
     /// Returns whether a task is working according to its worker's last report and is not being
     /// stopped.
-    fn is_at_work(&self, name: TaskName) -> bool {
+    fn reports_ready(&self, name: TaskName) -> bool {
         let placed =
             self.jobs.get(&name.job).and_then(|job| job.task(name)).map(|task| &task.placed);
         placed.into_iter().flatten().any(|placed| {
-            let life = self.lives.get(placed.life).filter(|life| life.silent == 0);
-            life.and_then(|life| life.runs().get(&name)).is_some_and(RunThere::is_at_work)
+            let instance = self
+                .instances
+                .get(placed.instance)
+                .filter(|instance| instance.unanswered_polls == 0);
+            instance
+                .and_then(|instance| instance.runs().get(&name))
+                .is_some_and(PlacedRun::reports_ready)
         })
     }
 }
--- a/crates/kitetrail-core/tests/fleet/mod.rs
+++ b/crates/kitetrail-core/tests/fleet/mod.rs
@@ -19,9 +19,9 @@
 use kitetrail_core::{
     Time,
     jobs::{
-        Action, EffectsRecord, Event, Hold, HoldFailure, HowEnded, Inheritance, JobId, JobRecord,
-        JobSpec, JobState, LifeNo, LifeRecord, Note, Order, OrderAnswer, Outcome, ProgressRecord,
-        Record, RequestNo, Scheduler, SubmitAnswer, TaskName, WorkerEntry,
+        Action, EffectsRecord, Event, Inheritance, InstanceNo, InstanceRecord, JobId, JobRecord,
+        JobRequestId, JobSpec, JobState, LogEntry, Order, OrderAnswer, Outcome, Poll, PollFailure,
+        ProgressRecord, Record, RunResult, Scheduler, SubmitAnswer, TaskName, WorkerEntry,
     },
 };
 
@@ -32,7 +32,7 @@
 use restarts::AcknowledgedEnds;
 pub use specs::{job, queue, step, task};
 pub use worker::{FakeWorker, Mood};
-use worker::{Work, answer_unreachable_hold};
+use worker::{Work, answer_unreachable_poll};
 
 /// The Unix time at which the virtual clock is zero, in milliseconds.
 pub const DAY_UNIX_MS: u64 = 1_780_000_000_000;
@@ -50,7 +50,7 @@
     pub now: Time,
     pub scheduler: Scheduler,
     pub workers: BTreeMap<String, FakeWorker>,
-    pub notes: Vec<(Time, Note)>,
+    pub log_entries: Vec<(Time, LogEntry)>,
     pub answers: Vec<(Time, Action)>,
     /// The starts of runs, in order: the time, the task, the run and the worker.
     pub starts: Vec<(Time, TaskName, u32, String)>,
@@ -59,16 +59,16 @@
     /// The contents of the store: this field and the next three.
     pub jobs: BTreeMap<JobId, JobRecord>,
     pub progress: BTreeMap<JobId, ProgressRecord>,
-    pub lives: BTreeMap<String, LifeRecord>,
+    pub instances: BTreeMap<String, InstanceRecord>,
     pub effects: EffectsRecord,
     /// The tasks that crash their workers, and a record of the crashes.
     pub crashes: Crashes,
-    /// Lives of workers that crashed and were replaced: on their machines a new life answers.
-    replaced_lives: BTreeSet<String>,
-    /// The holds for replaced lives, which reached the new life.
-    holds_to_replaced_lives: Vec<(LifeNo, Hold, Time)>,
-    /// The holds whose connection broke when their worker crashed.
-    interrupted_holds: Vec<(LifeNo, Hold, Time)>,
+    /// Instances that crashed and were replaced: on their machines a new instance answers.
+    replaced_instances: BTreeSet<String>,
+    /// The polls to replaced instances, which reached the new instance.
+    polls_to_replaced_instances: Vec<(InstanceNo, Poll, Time)>,
+    /// The polls whose connection broke when their worker crashed.
+    interrupted_polls: Vec<(InstanceNo, Poll, Time)>,
     /// The delay of answers to orders.
     pub order_answers_take: Duration,
     order_answers: VecDeque<(Time, Event)>,
@@ -95,10 +95,10 @@
     pub processor: Option<Processor>,
     /// The number of events that the scheduler handled.
     pub events: u64,
-    /// The number of holds that the scheduler requested.
-    pub holds: u64,
-    holds_by_worker: BTreeMap<String, u64>,
-    /// The number of answers to holds that reported only ends reported before.
+    /// The number of polls that the scheduler requested.
+    pub polls: u64,
+    polls_by_worker: BTreeMap<String, u64>,
+    /// The number of answers to polls that reported only ends reported before.
     pub stale_answers: u64,
     /// The real time that the scheduler spent on events.
     pub spent: Duration,
@@ -108,7 +108,7 @@
     next_request: u64,
     specs: BTreeMap<JobId, JobSpec>,
     /// The jobs submitted by requests.
-    submitted_jobs: BTreeMap<RequestNo, JobId>,
+    submitted_jobs: BTreeMap<JobRequestId, JobId>,
 }
 
 impl World {
@@ -124,18 +124,18 @@
             now: Time::from_ms(1_000),
             scheduler: scheduler(1, Inheritance::default(), Time::from_ms(1_000)),
             workers: workers.into_iter().map(by_id).collect(),
-            notes: Vec::new(),
+            log_entries: Vec::new(),
             answers: Vec::new(),
             starts: Vec::new(),
             start_orders: Vec::new(),
             jobs: BTreeMap::new(),
             progress: BTreeMap::new(),
-            lives: BTreeMap::new(),
+            instances: BTreeMap::new(),
             effects: EffectsRecord::default(),
             crashes: Crashes::default(),
-            replaced_lives: BTreeSet::new(),
-            holds_to_replaced_lives: Vec::new(),
-            interrupted_holds: Vec::new(),
+            replaced_instances: BTreeSet::new(),
+            polls_to_replaced_instances: Vec::new(),
+            interrupted_polls: Vec::new(),
             order_answers_take: Duration::ZERO,
             order_answers: VecDeque::new(),
             restarts: 0,
@@ -150,8 +150,8 @@
             predecessor: None,
             processor: None,
             events: 0,
-            holds: 0,
-            holds_by_worker: BTreeMap::new(),
+            polls: 0,
+            polls_by_worker: BTreeMap::new(),
             stale_answers: 0,
             spent: Duration::ZERO,
             allocations: 0,
@@ -166,7 +166,7 @@
     }
 
     /// Submits a job.
-    pub fn submit(&mut self, id: u64, spec: JobSpec) -> RequestNo {
+    pub fn submit(&mut self, id: u64, spec: JobSpec) -> JobRequestId {
         let request = self.request();
         if self.state(id).is_none() {
             self.acknowledged_ends.remove_job(JobId(id));
@@ -179,7 +179,7 @@
     }
 
     /// Cancels a job.
-    pub fn cancel(&mut self, id: u64) -> RequestNo {
+    pub fn cancel(&mut self, id: u64) -> JobRequestId {
         let request = self.request();
         self.tell(Event::Cancel { request, job: JobId(id) });
         request
@@ -190,23 +190,23 @@
         self.scheduler.state(JobId(id))
     }
 
-    /// Returns the final state of a job from the scheduler's notes, even if the scheduler has dropped the job.
+    /// Returns the final state of a job from the scheduler's log entries, even if the scheduler has dropped the job.
     pub fn final_state(&self, id: u64) -> Option<JobState> {
-        self.notes.iter().rev().find_map(|(_, note)| match note {
-            Note::JobEnded { job, state, .. } if *job == JobId(id) => Some(*state),
+        self.log_entries.iter().rev().find_map(|(_, entry)| match entry {
+            LogEntry::JobEnded { job, state, .. } if *job == JobId(id) => Some(*state),
             _ => None,
         })
     }
 
     /// Returns the time from a moment until a job was completed, `None` if it was not.
     pub fn completed_after(&self, id: u64, moment: Time) -> Option<Duration> {
-        let completes_job = |note: &Note| matches!(note, Note::JobEnded { job, state: JobState::Completed, .. } if *job == JobId(id));
-        let ended = self.notes.iter().find(|(_, note)| completes_job(note));
+        let completes_job = |entry: &LogEntry| matches!(entry, LogEntry::JobEnded { job, state: JobState::Completed, .. } if *job == JobId(id));
+        let ended = self.log_entries.iter().find(|(_, entry)| completes_job(entry));
         ended.map(|(at, _)| at.since(moment))
     }
 
     /// Returns when a request was answered.
-    pub fn answered(&self, request: RequestNo) -> Option<Time> {
+    pub fn answered(&self, request: JobRequestId) -> Option<Time> {
         let answers_request = |action: &Action| match action {
             Action::AnswerSubmit(no, _) | Action::AnswerCancel(no, _) => *no == request,
             _ => false,
@@ -215,7 +215,7 @@
     }
 
     /// Returns whether a submission was refused, `None` if it has no answer yet.
-    pub fn refused(&self, request: RequestNo) -> Option<bool> {
+    pub fn refused(&self, request: JobRequestId) -> Option<bool> {
         self.answers.iter().find_map(|(_, action)| match action {
             Action::AnswerSubmit(no, answer) if *no == request => {
                 Some(*answer == SubmitAnswer::Refused)
@@ -224,9 +224,9 @@
         })
     }
 
-    /// Returns the number of holds sent to a worker.
-    pub fn holds_of(&self, id: &str) -> u64 {
-        self.holds_by_worker.get(id).copied().unwrap_or(0)
+    /// Returns the number of polls sent to a worker.
+    pub fn polls_of(&self, id: &str) -> u64 {
+        self.polls_by_worker.get(id).copied().unwrap_or(0)
     }
 
     /// Advances the clock.
@@ -308,22 +308,22 @@
         }
     }
 
-    fn request(&mut self) -> RequestNo {
+    fn request(&mut self) -> JobRequestId {
         self.next_request += 1;
-        RequestNo(self.next_request)
+        JobRequestId(self.next_request)
     }
 
     /// Performs an action of the scheduler.
     fn perform(&mut self, action: Action) {
         match action {
-            Action::Order { life, entry, token, lease_until_ms, order } => {
+            Action::Order { instance, entry, token, lease_until_ms, order } => {
                 let answer = match self.listens_at(&entry)
                     && !self.cut_from.contains(entry.id.as_str())
                 {
                     true => self.deliver_order(entry.id.as_str(), token, lease_until_ms, &order),
                     false => OrderAnswer::Unanswered,
                 };
-                let answered = Event::OrderAnswered { life, order, answer };
+                let answered = Event::OrderAnswered { instance, order, answer };
                 match self.order_answers_take.is_zero() {
                     true => self.tell(answered),
                     false => {
@@ -332,19 +332,19 @@
                     }
                 }
             }
-            Action::Hold { life, entry, hold } => {
-                self.holds += 1;
-                *self.holds_by_worker.entry(entry.id.to_string()).or_default() += 1;
+            Action::Poll { instance, entry, poll } => {
+                self.polls += 1;
+                *self.polls_by_worker.entry(entry.id.to_string()).or_default() += 1;
                 match self.listens_at(&entry) {
-                    true => self.deliver_hold(life, entry.id.as_str(), hold),
-                    false => self.interrupted_holds.push((life, hold, self.now)),
+                    true => self.deliver_poll(instance, entry.id.as_str(), poll),
+                    false => self.interrupted_polls.push((instance, poll, self.now)),
                 }
             }
             Action::Commit { batch, records } => {
                 assert!(records.len() <= MAX_BATCH_RECORDS, "{} records in a batch", records.len());
                 self.batches.push_back((self.now + self.store_takes, batch, records));
             }
-            Action::Note(note) => self.notes.push((self.now, note)),
+            Action::Log(entry) => self.log_entries.push((self.now, entry)),
             Action::Deposed => self.deposed = true,
             answer => {
                 self.check_accepted_is_stored(&answer);
@@ -363,8 +363,8 @@
     fn check_accepted_is_stored(&self, answer: &Action) {
         if let Action::AnswerSubmit(request, SubmitAnswer::Accepted) = answer {
             let id = self.submitted_jobs[request];
-            let kept = self.jobs.contains_key(&id) || self.progress.contains_key(&id);
-            assert!(kept, "{id} is accepted without a record in the store");
+            let is_stored = self.jobs.contains_key(&id) || self.progress.contains_key(&id);
+            assert!(is_stored, "{id} is accepted without a record in the store");
         }
     }
 
@@ -381,7 +381,7 @@
         if let Order::Start(start) = order {
             self.start_orders.push((now, start.task, id.to_owned()));
         }
-        if self.replaced_lives.contains(id) {
+        if self.replaced_instances.contains(id) {
             return OrderAnswer::LifeOver;
         }
         let worker = self.workers.get_mut(id).expect("orders go to workers of the fleet");
@@ -406,49 +406,50 @@
     fn work_of(&self, name: TaskName) -> Work {
         let spec = self.specs.get(&name.job).map(|spec| &spec.steps[name.step as usize]);
         Work {
-            work_ms: match spec.is_some_and(|step| step.lasts) {
+            work_ms: match spec.is_some_and(|step| step.long_running) {
                 true => self.lasting_ms,
                 false => self.work_ms.or(spec.map(|step| step.estimate_ms)).unwrap_or(1_000),
             },
             cpu_millis: spec.map_or(0, |step| step.size.cpu_millis.0),
-            serves: spec.is_some_and(|step| step.tail_target_ms.is_some()),
-            lasts: spec.is_some_and(|step| step.lasts),
+            is_serving: spec.is_some_and(|step| step.tail_target_ms.is_some()),
+            is_long_running: spec.is_some_and(|step| step.long_running),
         }
     }
 
-    /// Delivers a hold to a worker.
-    fn deliver_hold(&mut self, life: LifeNo, id: &str, hold: Hold) {
+    /// Delivers a poll to a worker.
+    fn deliver_poll(&mut self, instance: InstanceNo, id: &str, poll: Poll) {
         let now = self.now;
-        if self.replaced_lives.contains(id) {
-            self.holds_to_replaced_lives.push((life, hold, now));
+        if self.replaced_instances.contains(id) {
+            self.polls_to_replaced_instances.push((instance, poll, now));
         }
-        self.check_acknowledged_are_stored(id, hold.ends_kept);
+        self.check_acknowledged_are_stored(id, poll.acknowledged_end);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.earlier_holds.extend(worker.held.replace((life, hold, now)));
+            worker.earlier_polls.extend(worker.open_poll.replace((instance, poll, now)));
         }
     }
 
     /// Panics if an end is acknowledged to a worker that is not stored.
     fn check_acknowledged_are_stored(&self, id: &str, last_acknowledged: u64) {
         let ends = self.workers.get(id).into_iter().flat_map(|worker| &worker.ended);
-        for end in ends.filter(|end| end.number <= last_acknowledged && end.how == HowEnded::Done) {
+        for end in ends.filter(|end| end.number <= last_acknowledged && end.how == RunResult::Done)
+        {
             let name = end.task;
-            if self.work_of(name).lasts {
+            if self.work_of(name).is_long_running {
                 // A long-running task runs until its job is cancelled, so its end changes nothing.
                 continue;
             }
             // A dropped job, or one that was never stored, has no records.
-            let Some(kept) = self.progress.get(&name.job) else {
+            let Some(stored) = self.progress.get(&name.job) else {
                 assert!(
                     !self.jobs.contains_key(&name.job),
                     "the store holds no record of the end of {name}"
                 );
                 continue;
             };
-            let step = kept.occurrences.get(&name.occurrence);
+            let step = stored.occurrences.get(&name.occurrence);
             let step = step.and_then(|occurrence| occurrence.steps.get(name.step as usize));
             let is_done = step.is_none_or(|step| step.is_done(name.index));
-            assert!(is_done || kept.outcome != Outcome::Open, "the end of {name} is not stored");
+            assert!(is_done || stored.outcome != Outcome::Open, "the end of {name} is not stored");
         }
     }
 
@@ -459,12 +460,17 @@
         while let Some((_, answered)) = self.order_answers.pop_front_if(|(at, _)| *at <= now) {
             answers.push(answered);
         }
-        for (life, hold, sent_at) in self.holds_to_replaced_lives.drain(..) {
-            answers.push(Event::Held { life, hold, sent_at, answer: Err(HoldFailure::LifeOver) });
+        for (instance, poll, sent_at) in self.polls_to_replaced_instances.drain(..) {
+            answers.push(Event::PollAnswered {
+                instance,
+                poll,
+                sent_at,
+                answer: Err(PollFailure::InstanceOver),
+            });
         }
-        for (life, hold, sent_at) in self.interrupted_holds.drain(..) {
-            let answer = Err(HoldFailure::Unanswered);
-            answers.push(Event::Held { life, hold, sent_at, answer });
+        for (instance, poll, sent_at) in self.interrupted_polls.drain(..) {
+            let answer = Err(PollFailure::Unanswered);
+            answers.push(Event::PollAnswered { instance, poll, sent_at, answer });
         }
         self.mark_waiting_gangs();
         for (id, worker) in &mut self.workers {
@@ -473,21 +479,24 @@
             for start in worker.carry_out_deferred(now) {
                 self.starts.push((now, start.task, start.run, id.clone()));
             }
-            if let Some((_, life, ended)) = worker.late_ends.take_if(|(at, ..)| *at <= now) {
+            if let Some((_, instance, ended)) = worker.late_ends.take_if(|(at, ..)| *at <= now) {
                 let incarnation = worker.entry.incarnation;
-                answers.push(Event::LateEnds { life, incarnation, ended });
+                answers.push(Event::LateReport { instance, incarnation, ended });
             }
-            let held = mem::take(&mut worker.earlier_holds).into_iter().chain(worker.held.take());
-            for (life, hold, sent_at) in held.collect::<Vec<_>>() {
+            let open_polls =
+                mem::take(&mut worker.earlier_polls).into_iter().chain(worker.open_poll.take());
+            for (instance, poll, sent_at) in open_polls.collect::<Vec<_>>() {
                 let answer = match is_cut {
-                    true => answer_unreachable_hold(now, &hold, sent_at),
-                    false => worker.answer_hold(now, (life, hold, sent_at), tail_ms),
+                    true => answer_unreachable_poll(now, &poll, sent_at),
+                    false => worker.answer_poll(now, (instance, poll, sent_at), tail_ms),
                 };
                 if let Some(answer) = answer {
                     self.stale_answers += u64::from(worker.repeats_known_ends(&answer));
-                    answers.push(Event::Held { life, hold, sent_at, answer });
+                    answers.push(Event::PollAnswered { instance, poll, sent_at, answer });
                 } else {
-                    worker.earlier_holds.extend(worker.held.replace((life, hold, sent_at)));
+                    worker
+                        .earlier_polls
+                        .extend(worker.open_poll.replace((instance, poll, sent_at)));
                 }
             }
         }
--- a/crates/kitetrail-core/tests/fleet/processor.rs
+++ b/crates/kitetrail-core/tests/fleet/processor.rs
@@ -88,14 +88,14 @@
         self.longest_lag = self.longest_lag.max(lag);
         self.last_tick_at = now;
         self.tick_is_next = true;
-        Some(Event::Lagged(if self.told_its_lag { lag } else { Duration::ZERO }))
+        Some(Event::OwnerLagged(if self.told_its_lag { lag } else { Duration::ZERO }))
     }
 }
 
 /// Returns the number of ends of runs that an event reports.
 fn reported_ends(event: &Event) -> u32 {
     match event {
-        Event::Held { answer: Ok(report), .. } => report.ended.len() as u32,
+        Event::PollAnswered { answer: Ok(report), .. } => report.ended.len() as u32,
         _ => 0,
     }
 }
--- a/crates/kitetrail-core/tests/fleet/restarts.rs
+++ b/crates/kitetrail-core/tests/fleet/restarts.rs
@@ -4,7 +4,7 @@
 
 use kitetrail_core::{
     Time,
-    jobs::{HowEnded, Incarnation, JobId, TaskName, WorkerEntry},
+    jobs::{Incarnation, JobId, RunResult, TaskName, WorkerEntry},
 };
 
 use super::{DAY_UNIX_MS, FakeWorker, World, queue};
@@ -51,7 +51,7 @@
         address: String,
     ) -> WorkerEntry {
         let previous = self.workers.remove(id).expect("the fleet has this worker");
-        self.interrupted_holds.extend(previous.held.into_iter().chain(previous.earlier_holds));
+        self.interrupted_polls.extend(previous.open_poll.into_iter().chain(previous.earlier_polls));
         self.restarts += 1;
         let entry =
             WorkerEntry { incarnation: Some(incarnation), address, ..previous.entry.clone() };
@@ -78,9 +78,9 @@
             self.workers.values_mut().flat_map(|worker| worker.acknowledged_ends.drain(..));
         for (at, end) in acknowledged.collect::<Vec<_>>() {
             match end.how {
-                HowEnded::Done => self.record_done(end.task, at),
-                HowEnded::Failed => self.record_failed(end.task, at),
-                HowEnded::Stopped | HowEnded::Lapsed | HowEnded::Broken | HowEnded::Alone => {}
+                RunResult::Done => self.record_done(end.task, at),
+                RunResult::Failed => self.record_failed(end.task, at),
+                RunResult::Stopped | RunResult::Lapsed | RunResult::Broken | RunResult::Alone => {}
             }
         }
         for index in self.acknowledged_ends.checked_starts..self.starts.len() {
@@ -132,7 +132,7 @@
     /// Returns whether a task may be started again after an end, since it is long-running or copies are allowed.
     fn may_repeat(&self, name: TaskName) -> bool {
         let spec = self.specs.get(&name.job).and_then(|spec| spec.steps.get(name.step as usize));
-        spec.is_none_or(|step| step.lasts || step.copies_allowed)
+        spec.is_none_or(|step| step.long_running || step.copies_allowed)
     }
 }
 
--- a/crates/kitetrail-core/tests/fleet/worker.rs
+++ b/crates/kitetrail-core/tests/fleet/worker.rs
@@ -9,15 +9,15 @@
 use kitetrail_core::{
     Resources, Time,
     jobs::{
-        Hold, HoldFailure, HowEnded, LifeNo, Order, OrderAnswer, Refusal, Report, RunEnd,
+        InstanceNo, Order, OrderAnswer, OrderRefusal, Poll, PollFailure, Report, RunEnd, RunResult,
         RunningTask, StartOrder, TaskName, WorkerEntry,
     },
 };
 
 use super::STEP;
 
-/// The time beyond its wait after which the owner considers a hold unanswered.
-const HOLD_SLACK: Duration = Duration::from_millis(700);
+/// The time beyond its wait after which the owner considers a poll unanswered.
+const POLL_MARGIN: Duration = Duration::from_millis(700);
 /// The further delay of an answer that arrives after the owner considered it missing.
 const LATE_ANSWER_DELAY: Duration = Duration::from_millis(500);
 /// The startup time of a long-running task, which reports 100 percent from then on.
@@ -52,7 +52,7 @@
     Delayed,
     /// The worker neither answers nor carries out stop orders.
     Unstoppable,
-    /// The worker carries out orders, but its answers to holds arrive so late that they are considered missing.
+    /// The worker carries out orders, but its answers to polls arrive so late that they are considered missing.
     Unread,
 }
 
@@ -70,9 +70,9 @@
     /// The processor use at full speed, in thousandths of a core.
     pub cpu_millis: u32,
     /// Whether the task serves users, so that its gauge is its tail latency.
-    pub serves: bool,
+    pub is_serving: bool,
     /// Whether the task is long-running, until it is stopped.
-    pub lasts: bool,
+    pub is_long_running: bool,
     /// Whether the run waits for other members of its gang.
     pub waits_for_gang: bool,
     /// The time that the run has waited for its gang, in milliseconds.
@@ -80,15 +80,15 @@
 }
 
 impl Running {
-    fn new(run: u32, Work { work_ms, cpu_millis, serves, lasts }: Work) -> Self {
+    fn new(run: u32, Work { work_ms, cpu_millis, is_serving, is_long_running }: Work) -> Self {
         Self {
             run,
             done_ms: 0,
             work_ms,
             percent: 100,
             cpu_millis,
-            serves,
-            lasts,
+            is_serving,
+            is_long_running,
             waits_for_gang: false,
             waited_ms: 0,
         }
@@ -96,7 +96,7 @@
 
     /// Returns the progress that the worker reports, in percent.
     pub fn told_percent(&self) -> u32 {
-        let total_ms = if self.lasts { STARTUP_MS } else { self.work_ms };
+        let total_ms = if self.is_long_running { STARTUP_MS } else { self.work_ms };
         (self.done_ms * 100 / total_ms).min(100) as u32
     }
 }
@@ -106,8 +106,8 @@
 pub struct Work {
     pub work_ms: u64,
     pub cpu_millis: u32,
-    pub serves: bool,
-    pub lasts: bool,
+    pub is_serving: bool,
+    pub is_long_running: bool,
 }
 
 /// An order that is carried out at a later time.
@@ -139,21 +139,21 @@
     pub answers_tell_start: bool,
     /// The end of the lease on the worker's clock, in milliseconds.
     pub leased_until_ms: u64,
-    /// The acknowledged ends with the times at which they occurred, except those after which the lease lapsed before
+    /// The acknowledged ends with the times at which they occurred, except those after which the lease expired before
     /// the acknowledgement.
     pub acknowledged_ends: Vec<(Time, RunEnd)>,
-    /// The hold that waits for an answer, with the time at which it was sent.
-    pub held: Option<(LifeNo, Hold, Time)>,
-    /// Earlier holds that still wait: an owner may hold two lives of a worker at the same time.
-    pub earlier_holds: Vec<(LifeNo, Hold, Time)>,
+    /// The poll that waits for an answer, with the time at which it was sent.
+    pub open_poll: Option<(InstanceNo, Poll, Time)>,
+    /// Earlier polls that still wait: an owner may hold two instances of a worker at the same time.
+    pub earlier_polls: Vec<(InstanceNo, Poll, Time)>,
     /// The delay after which a late worker carries out orders.
     pub late_by: Duration,
     deferred: VecDeque<DeferredOrder>,
-    /// The ends in a late answer, with the time of its arrival and the life to which it belongs.
-    pub late_ends: Option<(Time, LifeNo, Vec<RunEnd>)>,
+    /// The ends in a late answer, with the time of its arrival and the instance to which it belongs.
+    pub late_ends: Option<(Time, InstanceNo, Vec<RunEnd>)>,
     /// The tasks that this worker completed.
     pub done: Vec<TaskName>,
-    /// The number of runs whose lease lapsed.
+    /// The number of runs whose lease expired.
     pub lapsed: u32,
     next_end_number: u64,
     /// The times of the ends that are not acknowledged, by number.
@@ -195,8 +195,8 @@
             answers_tell_start: false,
             leased_until_ms: 0,
             acknowledged_ends: Vec::new(),
-            held: None,
-            earlier_holds: Vec::new(),
+            open_poll: None,
+            earlier_polls: Vec::new(),
             late_by: DEFAULT_ORDER_DELAY,
             deferred: VecDeque::new(),
             late_ends: None,
@@ -236,13 +236,13 @@
         work: Work,
     ) -> OrderAnswer {
         if token < self.token {
-            return OrderAnswer::Refused(Refusal::Fenced);
+            return OrderAnswer::Refused(OrderRefusal::Fenced);
         }
         self.token = token;
         let clock_ms = self.clock_ms(now);
         match order {
             Order::Start(_) if lease_until_ms <= clock_ms => {
-                return OrderAnswer::Refused(Refusal::Late);
+                return OrderAnswer::Refused(OrderRefusal::Late);
             }
             Order::Start(start) => {
                 self.lease(now, lease_until_ms);
@@ -251,7 +251,7 @@
             }
             Order::Stop { task, run } => {
                 if self.running.get(task).is_some_and(|running| running.run == *run) {
-                    self.end(now, *task, HowEnded::Stopped);
+                    self.end(now, *task, RunResult::Stopped);
                 }
             }
             Order::Pace { task, percent, .. } => {
@@ -300,35 +300,35 @@
         started
     }
 
-    /// Answers a hold. Returns `None` while the hold may wait.
-    pub fn answer_hold(
+    /// Answers a poll. Returns `None` while the poll may wait.
+    pub fn answer_poll(
         &mut self,
         now: Time,
-        (life, hold, sent_at): (LifeNo, Hold, Time),
+        (instance, poll, sent_at): (InstanceNo, Poll, Time),
         tail_ms: fn(&FakeWorker) -> u32,
-    ) -> Option<Result<Report, HoldFailure>> {
+    ) -> Option<Result<Report, PollFailure>> {
         if self.mood == Mood::Down {
-            return Some(Err(HoldFailure::Unanswered));
+            return Some(Err(PollFailure::Unanswered));
         }
         let waited = now.since(sent_at);
         if matches!(self.mood, Mood::Cut | Mood::Delayed | Mood::Unread) {
-            if !is_timed_out(&hold, waited) {
+            if !is_timed_out(&poll, waited) {
                 return None;
             }
             if self.mood == Mood::Unread {
-                self.late_ends = Some((now + LATE_ANSWER_DELAY, life, self.ended.clone()));
+                self.late_ends = Some((now + LATE_ANSWER_DELAY, instance, self.ended.clone()));
             }
-            return Some(Err(HoldFailure::Unanswered));
+            return Some(Err(PollFailure::Unanswered));
         }
-        if hold.token < self.token {
-            return Some(Err(HoldFailure::Fenced));
+        if poll.token < self.token {
+            return Some(Err(PollFailure::Fenced));
         }
-        self.token = hold.token;
-        if let Some(until_ms) = hold.lease_until_ms {
+        self.token = poll.token;
+        if let Some(until_ms) = poll.lease_until_ms {
             self.lease(now, until_ms);
         }
-        self.acknowledge_ends(hold.ends_kept);
-        if self.ended.is_empty() && waited < Duration::from_millis(hold.wait_ms.into()) {
+        self.acknowledge_ends(poll.acknowledged_end);
+        if self.ended.is_empty() && waited < Duration::from_millis(poll.wait_ms.into()) {
             return None;
         }
         Some(Ok(self.report(now, tail_ms(self))))
@@ -345,7 +345,7 @@
     }
 
     /// Returns whether an answer reports ends, all of which have been reported before.
-    pub fn repeats_known_ends(&mut self, answer: &Result<Report, HoldFailure>) -> bool {
+    pub fn repeats_known_ends(&mut self, answer: &Result<Report, PollFailure>) -> bool {
         let Some(last) = answer.as_ref().ok().and_then(|report| report.ended.last()) else {
             return false;
         };
@@ -361,7 +361,7 @@
             run: running.run,
             checkpoint: Some(format!("{task}@{}", running.done_ms)),
             percent: running.told_percent(),
-            gauge: Some(match running.serves {
+            gauge: Some(match running.is_serving {
                 true => tail_ms,
                 false => running.cpu_millis * u32::from(running.percent) / 100,
             }),
@@ -382,7 +382,7 @@
         }
         if !self.running.is_empty() && lapsed {
             for task in self.running.keys().copied().collect::<Vec<_>>() {
-                self.end(now, task, HowEnded::Lapsed);
+                self.end(now, task, RunResult::Lapsed);
             }
         }
         let mood = self.mood;
@@ -395,9 +395,9 @@
             running.waited_ms += STEP.as_millis() as u64;
         }
         let ended_runs = self.running.iter().filter_map(|(&task, running)| match mood {
-            _ if running.waited_ms >= GANG_TIMEOUT_MS => Some((task, HowEnded::Alone)),
-            Mood::Failing if running.done_ms >= FAILS_AFTER_MS => Some((task, HowEnded::Failed)),
-            _ if running.done_ms >= running.work_ms => Some((task, HowEnded::Done)),
+            _ if running.waited_ms >= GANG_TIMEOUT_MS => Some((task, RunResult::Alone)),
+            Mood::Failing if running.done_ms >= FAILS_AFTER_MS => Some((task, RunResult::Failed)),
+            _ if running.done_ms >= running.work_ms => Some((task, RunResult::Done)),
             _ => None,
         });
         for (task, how) in ended_runs.collect::<Vec<_>>() {
@@ -410,16 +410,16 @@
         let is_member = |task: &TaskName| TaskName { index: lost.index, ..*task } == lost;
         let members = self.running.keys().copied().filter(is_member);
         for task in members.collect::<Vec<_>>() {
-            self.end(now, task, HowEnded::Broken);
+            self.end(now, task, RunResult::Broken);
         }
     }
 
     /// Ends a run.
-    fn end(&mut self, now: Time, task: TaskName, how: HowEnded) {
+    fn end(&mut self, now: Time, task: TaskName, how: RunResult) {
         let Some(running) = self.running.remove(&task) else { return };
         match how {
-            HowEnded::Done => self.done.push(task),
-            HowEnded::Lapsed => self.lapsed += 1,
+            RunResult::Done => self.done.push(task),
+            RunResult::Lapsed => self.lapsed += 1,
             _ => {}
         }
         let checkpoint = Some(format!("{task}@{}", running.done_ms));
@@ -430,16 +430,16 @@
     }
 }
 
-/// Returns the outcome of a hold that does not reach its worker: `None` until the owner considers it unanswered.
-pub(super) fn answer_unreachable_hold(
+/// Returns the outcome of a poll that does not reach its worker: `None` until the owner considers it unanswered.
+pub(super) fn answer_unreachable_poll(
     now: Time,
-    hold: &Hold,
+    poll: &Poll,
     sent_at: Time,
-) -> Option<Result<Report, HoldFailure>> {
-    is_timed_out(hold, now.since(sent_at)).then_some(Err(HoldFailure::Unanswered))
+) -> Option<Result<Report, PollFailure>> {
+    is_timed_out(poll, now.since(sent_at)).then_some(Err(PollFailure::Unanswered))
 }
 
-/// Returns whether the owner considers a hold unanswered.
-fn is_timed_out(hold: &Hold, waited: Duration) -> bool {
-    waited >= Duration::from_millis(hold.wait_ms.into()) + HOLD_SLACK
+/// Returns whether the owner considers a poll unanswered.
+fn is_timed_out(poll: &Poll, waited: Duration) -> bool {
+    waited >= Duration::from_millis(poll.wait_ms.into()) + POLL_MARGIN
 }
--- a/crates/kitetrail-core/tests/jobs_cancelled.rs
+++ b/crates/kitetrail-core/tests/jobs_cancelled.rs
@@ -14,7 +14,7 @@
 
 /// Returns a step whose tasks run far longer than any test.
 fn long_running_step(count: u32) -> StepSpec {
-    StepSpec { lasts: true, ..step(count) }
+    StepSpec { long_running: true, ..step(count) }
 }
 
 /// Returns a fleet of one worker with a delayed start in transit. No other message reaches
@@ -98,7 +98,7 @@
     world.cancel(1);
     world.run_ms(50);
     world.take_over(2, true);
-    // The worker answers the next owner while it is idle. After that it gets a hold only every few
+    // The worker answers the next owner while it is idle. After that it gets a poll only every few
     // seconds.
     world.worker("w0").mood = Mood::Well;
     world.run_ms(8_000);
--- a/crates/kitetrail-core/tests/jobs_evacuation.rs
+++ b/crates/kitetrail-core/tests/jobs_evacuation.rs
@@ -9,7 +9,7 @@
 use fleet::{Mood, World, job, step, task};
 use kitetrail_core::{
     Resources,
-    jobs::{EffectsRecord, Event, JobState, Note, ServingEffects, StepSpec},
+    jobs::{EffectsRecord, Event, JobState, LogEntry, ServingEffects, StepSpec},
 };
 use proptest::{
     prelude::{Just, Strategy, any},
@@ -36,7 +36,7 @@
 
 fn evacuate(world: &mut World, zones: &[&str]) {
     let zones = zones.iter().map(|&zone| zone.to_owned()).collect::<BTreeSet<_>>();
-    world.tell(Event::Evacuated(zones));
+    world.tell(Event::EvacuatedZonesChanged(zones));
 }
 
 /// Returns the number of starts in a zone so far.
@@ -54,11 +54,11 @@
 /// Returns the number of long-running tasks that are at work at present.
 fn at_work_count(world: &World) -> usize {
     let runs = world.workers.values().flat_map(|worker| worker.running.values());
-    runs.filter(|run| run.lasts && run.told_percent() == 100).count()
+    runs.filter(|run| run.is_long_running && run.told_percent() == 100).count()
 }
 
-fn long_running(count: u32, may_miss: Option<u32>) -> StepSpec {
-    StepSpec { lasts: true, may_miss, ..step(count) }
+fn long_running(count: u32, max_unavailable: Option<u32>) -> StepSpec {
+    StepSpec { long_running: true, max_unavailable, ..step(count) }
 }
 
 fn is_completed(world: &World, job: u64) -> bool {
@@ -96,7 +96,7 @@
     world.run_ms(300);
     evacuate(&mut world, &["a"]);
     let before = start_count(&world, "a");
-    world.take_over_with(2, true, Event::Evacuated(["a".to_owned()].into()));
+    world.take_over_with(2, true, Event::EvacuatedZonesChanged(["a".to_owned()].into()));
     world.run_until("the job completes", |world| is_completed(world, 1));
     assert_eq!(start_count(&world, "a"), before);
 }
@@ -219,7 +219,10 @@
     let mut world = two_zones(2);
     world.work_ms = Some(600_000);
     let image = |name: &str| Some(name.to_owned());
-    world.submit(1, job(vec![StepSpec { fills: true, image: image("disturbing"), ..step(1) }]));
+    world.submit(
+        1,
+        job(vec![StepSpec { best_effort: true, image: image("disturbing"), ..step(1) }]),
+    );
     world.run_ms(1_000);
     let interfering = ServingEffects {
         image: "sensitive".to_owned(),
@@ -272,8 +275,13 @@
     world.submit(1, job(vec![StepSpec { size: Resources::new(6_000, 512, 0), ..step(2) }]));
     world.run_ms(3_000);
     assert!(world.starts.is_empty());
-    let is_waiting_note = |(_, note): &&(_, Note)| matches!(note, Note::WaitsForZone { .. });
-    assert_eq!(world.notes.iter().filter(is_waiting_note).count(), 1, "one note for the step");
+    let is_waiting_entry =
+        |(_, entry): &&(_, LogEntry)| matches!(entry, LogEntry::WaitsForZone { .. });
+    assert_eq!(
+        world.log_entries.iter().filter(is_waiting_entry).count(),
+        1,
+        "one log entry for the step"
+    );
     evacuate(&mut world, &[]);
     world.run_until("the job completes", |world| is_completed(world, 1));
 }
@@ -313,7 +321,7 @@
     TakeOver { stopped: bool },
     Crash(u32),
     Mood(u32, Mood),
-    Submit { tasks: u32, lasts: bool, copies_allowed: bool, keeps_progress: bool },
+    Submit { tasks: u32, long_running: bool, copies_allowed: bool, keeps_progress: bool },
 }
 
 fn operations() -> impl Strategy<Value = Vec<(u64, Operation)>> {
@@ -324,8 +332,8 @@
         1 => any::<bool>().prop_map(|stopped| Operation::TakeOver { stopped }),
         1 => (0..6_u32).prop_map(Operation::Crash),
         1 => (0..6_u32, mood).prop_map(|(worker_no, mood)| Operation::Mood(worker_no, mood)),
-        4 => submit.prop_map(|(tasks, lasts, copies_allowed, keeps_progress)| {
-            Operation::Submit { tasks, lasts, copies_allowed, keeps_progress }
+        4 => submit.prop_map(|(tasks, long_running, copies_allowed, keeps_progress)| {
+            Operation::Submit { tasks, long_running, copies_allowed, keeps_progress }
         }),
     ];
     proptest::collection::vec((50..1_500_u64, step), 1..24)
@@ -349,11 +357,11 @@
                     .filter(|(_, is_wanted)| *is_wanted)
                     .map(|(zone, _)| zone.to_owned())
                     .collect();
-                self.world.tell(Event::Evacuated(self.evacuated.clone()));
+                self.world.tell(Event::EvacuatedZonesChanged(self.evacuated.clone()));
             }
             Operation::TakeOver { stopped } => {
                 self.epoch += 1;
-                let event = Event::Evacuated(self.evacuated.clone());
+                let event = Event::EvacuatedZonesChanged(self.evacuated.clone());
                 self.world.take_over_with(self.epoch, stopped, event);
             }
             Operation::Crash(worker_no) => {
@@ -367,12 +375,12 @@
                 let id = self.world.workers.keys().nth(worker_no as usize).unwrap().clone();
                 self.world.worker(&id).mood = mood;
             }
-            Operation::Submit { tasks, lasts, copies_allowed, keeps_progress } => {
+            Operation::Submit { tasks, long_running, copies_allowed, keeps_progress } => {
                 let id = self.jobs.len() as u64 + 1;
-                self.jobs.push((id, lasts));
-                let copies_allowed = copies_allowed && !lasts;
-                let keeps_progress = keeps_progress && !lasts;
-                let step = StepSpec { lasts, copies_allowed, keeps_progress, ..step(tasks) };
+                self.jobs.push((id, long_running));
+                let copies_allowed = copies_allowed && !long_running;
+                let keeps_progress = keeps_progress && !long_running;
+                let step = StepSpec { long_running, copies_allowed, keeps_progress, ..step(tasks) };
                 self.world.submit(id, job(vec![step]));
             }
         }
@@ -408,9 +416,9 @@
         }
         run.take(Operation::Evacuate([false, false]));
         run.world.set_moods(Mood::Well);
-        let jobs_that_end = run.jobs.iter().filter(|(_, lasts)| !lasts).map(|(id, _)| *id);
+        let jobs_that_end = run.jobs.iter().filter(|(_, long_running)| !long_running).map(|(id, _)| *id);
         let jobs_that_end = jobs_that_end.collect::<Vec<_>>();
-        for (id, _) in run.jobs.iter().filter(|(_, lasts)| *lasts) {
+        for (id, _) in run.jobs.iter().filter(|(_, long_running)| *long_running) {
             run.world.cancel(*id);
         }
         run.world.run_until("all jobs complete", |world| {
--- a/crates/kitetrail-core/tests/jobs_incarnations.rs
+++ b/crates/kitetrail-core/tests/jobs_incarnations.rs
@@ -6,7 +6,7 @@
 use fleet::{World, job, step, task};
 use kitetrail_core::{
     Resources,
-    jobs::{Discovery, Event, JobState, Report, StepSpec, WorkerEntry},
+    jobs::{Event, JobState, Report, StepSpec, WorkerEntry, WorkerListChange},
 };
 
 /// Returns a step whose tasks take a whole worker each.
@@ -84,11 +84,11 @@
         world.run_ms(300);
         world.submit(1, job(vec![whole_worker_step(2)]));
         world.run_until("both workers are taken", |world| world.starts.len() == 2);
-        let mut changes = vec![Discovery::Listed(Box::new(stale))];
+        let mut changes = vec![WorkerListChange::Listed(Box::new(stale))];
         let current = world.worker("w0-again").entry.clone();
-        changes.insert(usize::from(stale_first), Discovery::Listed(Box::new(current)));
+        changes.insert(usize::from(stale_first), WorkerListChange::Listed(Box::new(current)));
         world.take_over(2, true);
-        world.tell(Event::Discovered(changes));
+        world.tell(Event::WorkerListChanged(changes));
         world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
         assert_eq!(
             world.starts.len(),
@@ -106,7 +106,7 @@
         world.submit(1, job(vec![step(1)]));
         world.run_ms(500);
         // The worker crashes while its answer is in transit.
-        let (life, hold, sent_at) = world.worker("w0").held.take().unwrap();
+        let (instance, poll, sent_at) = world.worker("w0").open_poll.take().unwrap();
         let report = Report {
             incarnation: None,
             clock_ms: world.now.as_ms(),
@@ -119,7 +119,7 @@
         if restarted_first {
             world.run_until("the task runs again", |world| world.starts.len() == 2);
         }
-        world.tell(Event::Held { life, hold, sent_at, answer: Ok(report) });
+        world.tell(Event::PollAnswered { instance, poll, sent_at, answer: Ok(report) });
         world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
         assert_eq!(
             world.starts.len(),
--- a/crates/kitetrail-core/tests/jobs_kept.rs
+++ b/crates/kitetrail-core/tests/jobs_kept.rs
@@ -56,9 +56,9 @@
     world.submit(1, JobSpec { schedule: Some(schedule), ..job(vec![step(1)]) });
     world.run_until("four occurrences are done", |world| world.starts.len() == 5);
     world.run_ms(300);
-    let kept = &world.progress[&JobId(1)];
-    assert_eq!(kept.done_before, 4);
-    assert!(kept.occurrences.len() <= 1, "{:?}", kept.occurrences);
+    let stored = &world.progress[&JobId(1)];
+    assert_eq!(stored.done_before, 4);
+    assert!(stored.occurrences.len() <= 1, "{:?}", stored.occurrences);
     world.take_over(2, true);
     world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
     assert_eq!(world.starts.len(), 6, "each occurrence ran once");
@@ -182,7 +182,7 @@
     for id in &silent {
         world.worker(id).crash();
     }
-    // More jobs than the store can take. The owner notices the silence at the next hold, after 5 s
+    // More jobs than the store can take. The owner notices the silence at the next poll, after 5 s
     // on idle workers.
     for id in 0..3_500 {
         world.submit(100 + id, job(vec![step(1)]));
@@ -191,6 +191,6 @@
         }
     }
     let not_leased =
-        |id: &&String| world.lives.get(id.as_str()).is_some_and(|life| life.not_leased);
+        |id: &&String| world.instances.get(id.as_str()).is_some_and(|instance| instance.not_leased);
     assert_eq!(silent.iter().filter(not_leased).count(), 30);
 }
--- a/crates/kitetrail-core/tests/jobs_overload.rs
+++ b/crates/kitetrail-core/tests/jobs_overload.rs
@@ -8,7 +8,7 @@
 use fleet::{Mood, Processor, World, job, step, task};
 use kitetrail_core::{
     Resources, Time,
-    jobs::{Event, JobState, RequestNo, StepSpec},
+    jobs::{Event, JobRequestId, JobState, StepSpec},
 };
 
 /// The number of workers, each of which runs about two tasks at a time.
@@ -25,7 +25,7 @@
 /// A submitted job.
 struct SubmittedJob {
     id: u64,
-    request: RequestNo,
+    request: JobRequestId,
     at: Time,
 }
 
@@ -165,11 +165,11 @@
 #[test]
 fn long_running_tasks_restart_before_short_tasks_after_a_takeover() {
     let mut world = World::new(4);
-    world.submit(1, job(vec![StepSpec { lasts: true, ..step(12) }]));
+    world.submit(1, job(vec![StepSpec { long_running: true, ..step(12) }]));
     world.run_until("the watcher runs", |world| {
         (0..12).all(|index| !world.where_runs(task(1, 0, index)).is_empty())
     });
-    // All leases lapse, and the waiting short tasks could take all room.
+    // All leases expire, and the waiting short tasks could take all room.
     world.submit(2, job(vec![step(4)]));
     world.submit(3, job(vec![step(40)]));
     world.run_ms(50);
@@ -180,7 +180,7 @@
     assert_eq!(running, 12);
 }
 
-/// Returns a world with a watcher whose tail latency is above its target as soon as a best-effort
+/// Returns a world with a long-running serving task whose tail latency is above its target as soon as a best-effort
 /// task runs beside it.
 fn world_with_watcher() -> World {
     let mut world = World::new(1);
@@ -191,22 +191,27 @@
 }
 
 fn serving_step() -> StepSpec {
-    StepSpec { lasts: true, tail_target_ms: Some(50), image: Some("s".to_owned()), ..step(1) }
+    StepSpec {
+        long_running: true,
+        tail_target_ms: Some(50),
+        image: Some("s".to_owned()),
+        ..step(1)
+    }
 }
 
 fn best_effort_step() -> StepSpec {
-    StepSpec { fills: true, image: Some("f".to_owned()), ..step(1) }
+    StepSpec { best_effort: true, image: Some("f".to_owned()), ..step(1) }
 }
 
 /// Runs the world for `ms` with an owner that lags all the time.
 fn run_with_lag_ms(world: &mut World, lag: Duration, ms: u64) {
     for _ in 0..ms / 10 {
-        world.tell(Event::Lagged(lag));
+        world.tell(Event::OwnerLagged(lag));
         world.run_ms(10);
     }
 }
 
-/// Returns whether the best-effort task beside the watcher is halted.
+/// Returns whether the best-effort task beside the serving task is halted.
 fn is_halted(world: &World) -> bool {
     world.workers["w0"].running[&task(2, 0, 0)].percent == 0
 }
@@ -251,7 +256,7 @@
     let busy = world.workers.values_mut().filter(|worker| !worker.running.is_empty());
     busy.for_each(|worker| worker.mood = Mood::Unread);
     for _ in 0..600 {
-        world.tell(Event::Lagged(lag));
+        world.tell(Event::OwnerLagged(lag));
         world.run_ms(10);
         world.workers.values_mut().for_each(|worker| worker.late_ends = None);
     }
@@ -277,7 +282,7 @@
 #[test]
 fn punctual_owner_restarts_tasks_of_silent_workers() {
     let mut world = World::new(4);
-    world.submit(1, job(vec![StepSpec { lasts: true, ..step(2) }]));
+    world.submit(1, job(vec![StepSpec { long_running: true, ..step(2) }]));
     world.run_ms(300);
     let id = world.worker_of(task(1, 0, 0));
     world.worker(&id).mood = Mood::Cut;
@@ -286,6 +291,6 @@
         world.where_runs(task(1, 0, 0)).into_iter().any(|other| other != id);
     assert!(
         runs_on_another_worker,
-        "a task of a silent worker was not restarted after its lease lapsed"
+        "a task of a silent worker was not restarted after its lease expired"
     );
 }
--- a/crates/kitetrail-core/tests/jobs_restarted.rs
+++ b/crates/kitetrail-core/tests/jobs_restarted.rs
@@ -5,8 +5,8 @@
 //! fail twice was started three more times. The owner started a task on a worker 0.1 to 0.3 s after that worker's restart, the
 //! run ended, and 0.5 to 2 s later the owner considered the run lost and started the task on the next worker.
 //!
-//! The cause: an incarnation of a worker was identified by the worker's id alone, so the owner continued with the numbers of
-//! the previous incarnation. It ignored an end with a number at or below the last one it had received, and its next hold
+//! The cause: an instance of a worker was identified by the worker's id alone, so the owner continued with the numbers of
+//! the previous instance. It ignored an end with a number at or below the last one it had received, and its next poll
 //! acknowledged ends up to the old number, so that the worker dropped ends that nobody had read.
 //!
 //! In the owner's log of two such waves, 140 runs were lost in this way, all on workers that had just restarted and from which
@@ -25,7 +25,8 @@
 use kitetrail_core::{
     Resources,
     jobs::{
-        BegunRun, Event, Incarnation, JobId, JobState, LifeRecord, Note, StepSpec, WorkerEntry,
+        Event, Incarnation, InstanceRecord, JobId, JobState, LogEntry, PersistedStart, StepSpec,
+        WorkerEntry,
     },
 };
 
@@ -106,7 +107,7 @@
         }
         world.submit(10, job(vec![step(12)]));
         world.run_ms(1_000);
-        // Until the entries of the new incarnations are read, only orders in flight when the restart was detected start runs.
+        // Until the entries of the new instances are read, only orders in flight when the restart was detected start runs.
         let started_before = world.starts.len();
         assert!(started_before < 12, "{answers_report_start}: {:?}", world.starts);
         world.run_ms(1_000);
@@ -168,22 +169,22 @@
     world.run_until("the task is done", |world| {
         world.workers[&worker_id].done.contains(&task(10, 0, 0))
     });
-    let (life, hold, sent_at) = world.worker(&worker_id).held.unwrap();
+    let (instance, poll, sent_at) = world.worker(&worker_id).open_poll.unwrap();
     let ended = world.worker(&worker_id).ended.clone();
     let before = world.worker(&worker_id).entry.incarnation;
     world.restart(&worker_id);
     world.list_all();
-    // The late answer of the previous incarnation is read before the next one has answered.
-    world.tell(Event::LateEnds { life, incarnation: before, ended });
+    // The late answer of the previous instance is read before the next one has answered.
+    world.tell(Event::LateReport { instance, incarnation: before, ended });
     world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
     assert_eq!(world.starts.len(), 1, "the completed task is not started again");
-    let _ = (hold, sent_at);
+    let _ = (poll, sent_at);
 }
 
 #[test]
-fn the_next_hold_after_a_restart_drops_no_unread_end() {
+fn the_next_poll_after_a_restart_drops_no_unread_end() {
     // The worker has reported an end that is committed but not yet acknowledged to it. It restarts, gets a short task, and
-    // receives the next hold after that has ended.
+    // receives the next poll after that has ended.
     for (answers_report_start, order_answers_take_ms) in [(true, 0), (false, 0), (false, 300)] {
         let mut world = used_fleet(1);
         world.worker("w0").answers_tell_start = answers_report_start;
@@ -223,11 +224,11 @@
         world.run_until("all tasks run again", |world| world.starts.len() == 4 + lost_runs);
         assert!(world.now.since(taken_over_at).as_millis() < 1_500, "they waited for a lease");
         world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
-        let rows = world.lives.keys().cloned().collect::<BTreeSet<_>>();
+        let rows = world.instances.keys().cloned().collect::<BTreeSet<_>>();
         world.run_ms(1_000);
         assert_eq!(world.starts.len(), 4 + lost_runs, "runs on other workers continued");
         assert_eq!(
-            world.lives.len(),
+            world.instances.len(),
             4,
             "one row per live incarnation, none of an ended one: {rows:?}"
         );
@@ -237,8 +238,9 @@
 #[test]
 fn each_incarnation_of_a_worker_has_its_own_row() {
     let mut world = used_fleet(4);
-    let rows =
-        |world: &World| world.lives.values().map(|life| life.incarnation).collect::<Vec<_>>();
+    let rows = |world: &World| {
+        world.instances.values().map(|instance| instance.incarnation).collect::<Vec<_>>()
+    };
     assert_eq!(rows(&world), [Some(Incarnation(DAY_UNIX_MS)); 4]);
     world.restart("w0");
     let now = world.worker("w0").entry.incarnation;
@@ -251,10 +253,10 @@
 #[test]
 fn rows_without_an_incarnation_are_read() {
     let row = r#"{"id":"w0","address":"10.0.0.0:80","service":"desk"}"#;
-    let record = serde_json::from_str::<LifeRecord>(row).unwrap();
+    let record = serde_json::from_str::<InstanceRecord>(row).unwrap();
     assert_eq!((record.key().to_string().as_str(), record.incarnation), ("w0", None));
-    let run = serde_json::from_str::<BegunRun>(r#"{"run":3,"worker":"w0"}"#).unwrap();
-    assert_eq!(run.life(), record.key());
+    let run = serde_json::from_str::<PersistedStart>(r#"{"run":3,"worker":"w0"}"#).unwrap();
+    assert_eq!(run.instance(), record.key());
 }
 
 #[test]
@@ -278,7 +280,7 @@
 
 #[test]
 fn the_lease_of_an_order_to_an_earlier_incarnation_expires_before_a_new_start() {
-    // The order carries a lease end on the clock of the earlier incarnation. The new one reads it as a time far in the future
+    // The order carries a lease end on the clock of the earlier instance. The new one reads it as a time far in the future
     // and cuts it to its longest lease. The fleet panics if a task runs twice.
     let mut world = used_fleet(3);
     world.work_ms = Some(20_000);
@@ -302,7 +304,7 @@
     world.run_ms(6_000);
     let token = world.workers["w0"].token;
     world.restart("w0");
-    // A request to the earlier incarnation, under one of the tokens issued after it became unresponsive, arrives first.
+    // A request to the earlier instance, under one of the tokens issued after it became unresponsive, arrives first.
     world.worker("w0").token = token + 3;
     world.list_all();
     world.run_ms(2_000);
@@ -350,7 +352,7 @@
 
 #[test]
 fn answers_out_of_order_are_not_taken_for_a_restart() {
-    // Orders are answered late, and holds sent before or after them are answered in between.
+    // Orders are answered late, and polls sent before or after them are answered in between.
     for answers_take_ms in [30, 70, 150, 400] {
         let mut world = used_fleet(2);
         world.order_answers_take = Duration::from_millis(answers_take_ms);
@@ -360,10 +362,10 @@
             world.run_ms(110);
         }
         world.run_ms(5_000);
-        let is_clock_note =
-            |note: &Note| matches!(note, Note::Worker { belief, .. } if belief.contains("clock"));
-        let clock_notes = world.notes.iter().filter(|(_, note)| is_clock_note(note)).count();
-        assert_eq!(clock_notes, 0, "{answers_take_ms} ms");
+        let is_clock_entry = |entry: &LogEntry| matches!(entry, LogEntry::Worker { state, .. } if state.contains("clock"));
+        let clock_entries =
+            world.log_entries.iter().filter(|(_, entry)| is_clock_entry(entry)).count();
+        assert_eq!(clock_entries, 0, "{answers_take_ms} ms");
     }
 }
 
@@ -396,7 +398,7 @@
     match rng.random_range(0..10) {
         0..5 => {
             let at_new_address = rng.random_bool(0.3);
-            // The clock may have been set back, but two incarnations of a worker never report the same start time.
+            // The clock may have been set back, but two instances of a worker never report the same start time.
             let started = DAY_UNIX_MS + world.now.as_ms() - rng.random_range(0..2) * 2_999;
             let address = match at_new_address {
                 true => format!("10.1.{}.{}:80", rng.random_range(0..99), rng.random_range(0..99)),
@@ -446,11 +448,13 @@
 /// Returns whether a job failed because three workers in a row crashed under one of its tasks, which is allowed: a task that
 /// causes crashes can't be distinguished from one that was running by chance during three of them (seed 103).
 fn failed_for_three_crashes(world: &World, id: u64) -> bool {
-    let is_job_failure = |note: &Note| match note {
-        Note::CrashingTaskGivenUp { task, workers } => task.job == JobId(id) && workers.len() >= 3,
+    let is_job_failure = |entry: &LogEntry| match entry {
+        LogEntry::CrashingTaskFailed { task, workers } => {
+            task.job == JobId(id) && workers.len() >= 3
+        }
         _ => false,
     };
-    world.notes.iter().any(|(_, note)| is_job_failure(note))
+    world.log_entries.iter().any(|(_, entry)| is_job_failure(entry))
 }
 
 #[test]
--- a/crates/kitetrail-core/tests/jobs_unusable.rs
+++ b/crates/kitetrail-core/tests/jobs_unusable.rs
@@ -8,7 +8,7 @@
 
 /// Returns a step of long-running tasks.
 fn long_running_step(tasks: u32) -> StepSpec {
-    StepSpec { lasts: true, ..step(tasks) }
+    StepSpec { long_running: true, ..step(tasks) }
 }
 
 /// Returns the number of start orders sent to a worker.
@@ -91,7 +91,7 @@
 #[test]
 fn a_worker_of_an_unused_service_is_not_polled_until_a_queue_uses_the_service() {
     let mut world = World::new(1);
-    world.tell(Event::Queues(vec![queue()]));
+    world.tell(Event::QueuesChanged(vec![queue()]));
     let entry = world.worker("w0").entry.clone();
     let unused_entry = WorkerEntry {
         id: "w9".into(),
@@ -100,21 +100,21 @@
         address: "10.0.0.99:80".to_owned(),
         ..entry
     };
-    let holds = world.holds_of("w9");
+    let polls = world.polls_of("w9");
     world.list(unused_entry);
     world.run_ms(3_000);
-    assert_eq!((world.holds_of("w9"), holds), (0, 0), "the worker is not polled");
-    assert!(!world.lives.contains_key("w9"), "nothing is persisted about the worker");
+    assert_eq!((world.polls_of("w9"), polls), (0, 0), "the worker is not polled");
+    assert!(!world.instances.contains_key("w9"), "nothing is persisted about the worker");
     let other_queue = QueueTerms { name: "more".into(), service: "nowhere".to_owned(), ..queue() };
-    world.tell(Event::Queues(vec![queue(), other_queue]));
+    world.tell(Event::QueuesChanged(vec![queue(), other_queue]));
     world.run_ms(3_000);
-    assert!(world.holds_of("w9") > 0);
+    assert!(world.polls_of("w9") > 0);
 }
 
 #[test]
 fn a_worker_whose_entry_names_another_service_keeps_its_runs() {
     let mut world = World::new(2);
-    world.tell(Event::Queues(vec![queue()]));
+    world.tell(Event::QueuesChanged(vec![queue()]));
     world.submit(1, job(vec![long_running_step(2)]));
     world.run_until("both tasks run", |world| world.starts.len() == 2);
     let id = world.worker_of(task(1, 0, 0));
