--- a/crates/kitetrail-core/src/audit.rs
+++ b/crates/kitetrail-core/src/audit.rs
@@ -1,16 +1,17 @@
-//! Who changed what: a row for each change, written in the change's own transaction.
+//! Defines the audit log: one row for each change, written in the transaction that makes the change.
 
 use serde::{Deserialize, Serialize};
 
-/// One change that an operator made.
+/// A change made by an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// When it was accepted, by the clock of the accepting box, since 1970.
+    /// The time when a box accepted the change, by that box's clock, in milliseconds since the
+    /// Unix epoch.
     pub at_unix_ms: u64,
-    /// Who made it.
+    /// The operator who made the change.
     pub who: String,
     /// The id of the change.
     pub change: String,
-    /// What was done, in a few words.
+    /// A short description of the change.
     pub action: String,
 }
--- a/crates/kitetrail-core/src/calls.rs
+++ b/crates/kitetrail-core/src/calls.rs
@@ -1,8 +1,8 @@
-//! Calls that must not run twice, also when they are repeated through another box.
+//! Ensures that a call runs at most once, even when the caller repeats it through another box.
 //!
-//! A box claims a call's key in the table before any byte leaves for an endpoint. Only
-//! the box whose write put the claim there sends the call, so a repeat finds the claim
-//! whichever box it enters. Claims of many calls share one transaction.
+//! A box claims a call's key in the table before it sends any byte to an endpoint. Only
+//! the box that wrote the claim sends the call, so a repeated call finds the claim
+//! whichever box receives it. The claims of several calls share one transaction.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,20 +11,20 @@
     table::{Condition, Key, Record, Row, Transaction, Write},
 };
 
-/// The largest answer that is kept for repeats, in bytes.
+/// The size of the largest answer that is stored for repeated calls, in bytes.
 pub const MAX_KEPT_ANSWER_BYTES: usize = 4_096;
 
-/// What became of a call.
+/// The durable state of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallState {
-    /// A box holds it and may have sent it.
+    /// A box holds the claim and may have sent the call.
     Claimed,
-    /// It ran; this was the answer, if it was small enough to keep.
+    /// The call ran and was answered.
     Done {
-        /// The HTTP status.
+        /// The HTTP status of the answer.
         status: u16,
-        /// The body, if it was small enough and text.
+        /// The body of the answer, if it was text and small enough to store.
         body: Option<String>,
     },
 }
@@ -32,68 +32,68 @@
 /// The durable row of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRow {
-    /// The box that claimed it.
+    /// The box that claimed the call.
     pub holder: BoxId,
-    /// The run of that box.
+    /// The incarnation of that box.
     pub incarnation: u64,
-    /// What became of it.
+    /// The state of the call.
     pub state: CallState,
 }
 
-/// A key a caller chose for a call, within one service.
+/// The idempotency key that a caller chose for a call to a service.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallKey {
     /// The service.
     pub service: SpecName,
-    /// The caller's key.
+    /// The key that the caller chose.
     pub key: String,
 }
 
 impl CallKey {
-    /// The name of its row.
+    /// Returns the key of the call's row in the table.
     pub fn row(&self) -> Key {
         Key::call(&self.service, &self.key)
     }
 }
 
-/// What is to be done with a call whose claim was tried.
+/// The result of an attempt to claim a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAnswer {
-    /// It is ours: send it.
+    /// This box holds the claim and is to send the call.
     Granted,
-    /// Another holds it and may still be running it.
+    /// Another claim exists, and the call may still be running.
     Held,
-    /// It ran before; this was the answer.
+    /// The call ran before and was answered.
     Ran {
-        /// The HTTP status.
+        /// The HTTP status of the earlier answer.
         status: u16,
-        /// The body, if it was kept.
+        /// The body of the earlier answer, if it was stored.
         body: Option<String>,
     },
-    /// The table can't say. Nothing was sent.
+    /// The table did not show who holds the claim. The call was not sent.
     NoTable,
 }
 
-/// A change to one call's row.
+/// A change to the row of one call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallChange {
-    /// Claim it.
+    /// Claims the call.
     Claim,
-    /// Keep its answer.
+    /// Stores the answer to the call.
     Finish {
-        /// The HTTP status.
+        /// The HTTP status of the answer.
         status: u16,
-        /// The body, if it is to be kept.
+        /// The body of the answer, if it is to be stored.
         body: Option<String>,
     },
-    /// Give the claim back: it was not sent.
+    /// Releases the claim of a call that was not sent.
     Release,
 }
 
-/// The transaction that makes the given changes together.
+/// Builds a transaction that makes the given changes atomically.
 ///
-/// A claim demands that there is no row. The other changes are made by the holder
-/// alone and demand the version its claim gave the row.
+/// A claim requires that the row is absent. Only the holder makes the other changes, and
+/// they require the row version that its claim produced.
 pub fn transaction(
     op: OpId,
     holder: &BoxId,
@@ -110,14 +110,15 @@
             }
             CallChange::Release => None,
         };
-        let name = key.row();
-        transaction.conditions.push(Condition { key: name.clone(), version: *version });
-        transaction.writes.push(Write { key: name, record });
+        let row_key = key.row();
+        transaction.conditions.push(Condition { key: row_key.clone(), version: *version });
+        transaction.writes.push(Write { key: row_key, record });
     }
     transaction
 }
 
-/// What a row that was read back says of a claim made by the write `op`.
+/// Returns the result of the claim made by the write `op`, as shown by the row read back, or
+/// `None` if there is no row.
 pub fn judge_claim(row: Option<&Row>, op: &OpId) -> Option<ClaimAnswer> {
     let row = row?;
     let Record::Call(call) = &row.record else { return Some(ClaimAnswer::NoTable) };
--- a/crates/kitetrail-core/src/config.rs
+++ b/crates/kitetrail-core/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration in force: numbered revisions that are never stepped back.
+//! Tracks the configuration in force: numbered revisions, of which an older one never replaces a
+//! newer one.
 
 use std::collections::BTreeMap;
 
@@ -6,52 +7,53 @@
 
 use crate::{Resources, TeamId};
 
-/// What operators configure.
+/// The settings that operators control.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Configuration {
-    /// The program that states what matters. Empty stands for the defaults.
+    /// The source of the policy program. An empty string selects the default policy.
     pub policy: String,
-    /// The most that each team's batch jobs may hold in one shard.
+    /// The resources that the batch jobs of each team may hold in one shard at most.
     pub quotas: BTreeMap<TeamId, Resources>,
 }
 
-/// An accepted configuration. It never changes.
+/// An accepted configuration, which is immutable.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revision {
-    /// Its number, one more than that of the revision it replaced.
+    /// The number of the revision, one higher than that of the revision it replaced.
     pub number: u64,
-    /// Who accepted it.
+    /// The operator whose change was accepted.
     pub author: String,
-    /// The id its author's tool gave the change.
+    /// The id that the author's tool gave the change.
     pub change: String,
-    /// What it says.
+    /// The settings of the revision.
     pub configuration: Configuration,
 }
 
-/// The revision one box has in force.
+/// The revision in force on one box.
 #[derive(Debug, Clone, Default)]
 pub struct RevisionInForce {
     revision: Option<Revision>,
 }
 
 impl RevisionInForce {
-    /// The revision, or `None` before any was learned.
+    /// Returns the revision in force, or `None` if none is known yet.
     pub fn revision(&self) -> Option<&Revision> {
         self.revision.as_ref()
     }
 
-    /// Its number, zero before any was learned.
+    /// Returns the number of the revision in force, or zero if none is known yet.
     pub fn number(&self) -> u64 {
         self.revision.as_ref().map_or(0, |revision| revision.number)
     }
 
-    /// Puts a revision in force if it is newer. Returns whether it was.
+    /// Puts a revision in force if it is newer than the current one, and returns whether it was.
     pub fn offer(&mut self, revision: Revision) -> bool {
-        let newer = self.revision.as_ref().is_none_or(|known| revision.number > known.number);
-        if newer {
+        let is_newer =
+            self.revision.as_ref().is_none_or(|current| revision.number > current.number);
+        if is_newer {
             self.revision = Some(revision);
         }
-        newer
+        is_newer
     }
 }
--- a/crates/kitetrail-core/src/evacuation.rs
+++ b/crates/kitetrail-core/src/evacuation.rs
@@ -1,55 +1,55 @@
-//! Operators' requests to start nothing further in an availability zone, as known to one box.
+//! Tracks the operators' requests to start no further tasks in an availability zone, as known to one
+//! box.
 
 use std::collections::BTreeMap;
 
-/// A request of operators, or its withdrawal.
+/// An evacuation request by operators, or the withdrawal of one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuationChange {
     /// The availability zone.
     pub zone: String,
-    /// The version of the store that wrote or removed the request.
+    /// The store version at which the request was written or removed.
     pub version: u64,
-    /// It is requested; otherwise it was withdrawn.
+    /// Whether evacuation is requested; `false` means that the request was withdrawn.
     pub requested: bool,
 }
 
-/// The requests in force.
+/// The evacuation requests in force.
 ///
-/// What is learned later but holds for an earlier version of the store changes nothing: beliefs never
-/// step back.
+/// Information that applies to an older store version than the one already known is ignored, so that
+/// the state never goes back.
 #[derive(Debug, Default)]
 pub struct Evacuations {
-    /// The version of the store up to which everything is known.
+    /// The store version up to which all changes are known.
     known_until: u64,
-    /// By zone, the version of its request.
+    /// The store version of each zone's request, by zone.
     requested: BTreeMap<String, u64>,
 }
 
 impl Evacuations {
-    /// The zones that are to be evacuated.
+    /// Returns the zones to be evacuated.
     pub fn zones(&self) -> impl Iterator<Item = &str> {
         self.requested.keys().map(String::as_str)
     }
 
-    /// How many zones are to be evacuated.
+    /// Returns the number of zones to be evacuated.
     pub fn count(&self) -> usize {
         self.requested.len()
     }
 
-    /// Takes note of all requests as they were at a version of the store. Returns what that changes.
+    /// Replaces the state by all requests in force at a store version, and returns the changes.
     pub fn read(&mut self, known_until: u64, all: Vec<EvacuationChange>) -> Vec<EvacuationChange> {
         if known_until < self.known_until {
             return Vec::new();
         }
-        let is_gone = |zone: &&String| !all.iter().any(|change| change.zone == **zone);
-        let gone = self.requested.keys().filter(is_gone).cloned().collect::<Vec<_>>();
-        let withdrawn = |zone| EvacuationChange { zone, version: known_until, requested: false };
-        let changes = gone.into_iter().map(withdrawn).chain(all).collect();
+        let is_removed = |zone: &&String| !all.iter().any(|change| change.zone == **zone);
+        let removed_zones = self.requested.keys().filter(is_removed).cloned().collect::<Vec<_>>();
+        let withdrawal = |zone| EvacuationChange { zone, version: known_until, requested: false };
+        let changes = removed_zones.into_iter().map(withdrawal).chain(all).collect();
         self.follow(known_until, changes)
     }
 
-    /// Takes note of changes, in order, up to a version of the store. Returns those that change
-    /// something.
+    /// Applies changes in order, up to a store version, and returns those that had an effect.
     pub fn follow(
         &mut self,
         known_until: u64,
@@ -62,14 +62,14 @@
         changes.into_iter().filter(|change| self.apply(change)).collect()
     }
 
-    /// Whether a change changes something.
+    /// Applies a change and returns whether the zone's state changed.
     fn apply(&mut self, change: &EvacuationChange) -> bool {
-        let known = self.requested.get(&change.zone).copied();
-        match (change.requested, known) {
+        let current = self.requested.get(&change.zone).copied();
+        match (change.requested, current) {
             (true, Some(version)) if version >= change.version => false,
-            (true, known) => {
+            (true, current) => {
                 self.requested.insert(change.zone.clone(), change.version);
-                known.is_none()
+                current.is_none()
             }
             (false, Some(_)) => self.requested.remove(&change.zone).is_some(),
             (false, None) => false,
--- a/crates/kitetrail-core/src/fleet.rs
+++ b/crates/kitetrail-core/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What the box list says of workers and entry boxes.
+//! Defines the contents of the box list: workers and kitetrail's own boxes.
 
 use std::net::SocketAddr;
 
@@ -6,13 +6,13 @@
 
 use crate::{BoxId, Resources, ShardId, WorkerId, ZoneId};
 
-/// The state of a box as the box list gives it, possibly late.
+/// The state of a box according to the box list, possibly outdated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Liveness {
     /// The box is up.
     Live,
-    /// The box is up and will go away; it takes no new work.
+    /// The box is up but about to leave; it takes no new work.
     Leaving,
     /// The box is gone.
     Dead,
@@ -23,24 +23,24 @@
 pub struct WorkerInfo {
     /// The worker's name.
     pub id: WorkerId,
-    /// Where its control interface listens.
+    /// The address of its control interface.
     pub control: SocketAddr,
-    /// Where its endpoint answers requests.
+    /// The address at which its endpoint serves requests.
     pub endpoint: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneId,
     /// The number of its rack within the zone.
     pub rack: u16,
-    /// What it has.
+    /// The resources of the worker.
     pub capacity: Resources,
-    /// Whether it is up.
+    /// The state of the worker.
     pub state: Liveness,
 }
 
 impl WorkerInfo {
-    /// The shard the worker belongs to.
+    /// Returns the shard to which the worker belongs.
     ///
-    /// It depends on the worker's rack alone, so every daemon agrees on it.
+    /// The shard depends only on the worker's rack, so all daemons agree on it.
     pub fn shard(&self, racks_per_shard: u16) -> ShardId {
         ShardId { zone: self.zone.clone(), index: self.rack / racks_per_shard.max(1) }
     }
@@ -51,19 +51,19 @@
 pub struct BoxInfo {
     /// The box's name.
     pub id: BoxId,
-    /// Where its daemon answers its peers.
+    /// The address at which its daemon serves its peers.
     pub peer: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Whether it is up.
+    /// The state of the box.
     pub state: Liveness,
 }
 
 /// The whole box list.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// The workers, by name.
+    /// The workers, ordered by name.
     pub workers: Vec<WorkerInfo>,
-    /// Kitetrail's own boxes, by name.
+    /// Kitetrail's own boxes, ordered by name.
     pub boxes: Vec<BoxInfo>,
 }
--- a/crates/kitetrail-core/src/fleet_config.rs
+++ b/crates/kitetrail-core/src/fleet_config.rs
@@ -1,55 +1,54 @@
-//! The operators' configuration of queues, as versions that are never stepped back.
+//! Defines the operators' versioned configuration of queues and of limits on callers.
 
 use serde::{Deserialize, Serialize};
 
 use crate::jobs::QueueTerms;
 
-/// The longest head of a request, in bytes, until operators say otherwise: as in the settings of
-/// the daemon for requests.
-const MAX_HEADER_BYTES: usize = 16 * 1_024;
-/// The longest body of a request, in bytes, until operators say otherwise: room for the largest job
-/// that is accepted.
-const MAX_BODY_BYTES: usize = 256 * 1_024;
-/// How long a caller may take to send a head or a body, in milliseconds, until operators say
-/// otherwise.
-const HEADER_TIMEOUT_MS: u64 = 3_000;
-/// How long a connection may stay unused, in milliseconds, until operators say otherwise.
-const IDLE_TIMEOUT_MS: u64 = 15_000;
+/// The default limit on the size of a request's headers, in bytes. It equals the default in the
+/// daemon's request settings.
+const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1_024;
+/// The default limit on the size of a request's body, in bytes. The largest job that is accepted
+/// fits.
+const DEFAULT_MAX_BODY_BYTES: usize = 256 * 1_024;
+/// The default timeout for receiving a request's headers or its body, in milliseconds.
+const DEFAULT_HEADER_TIMEOUT_MS: u64 = 3_000;
+/// The default idle timeout of a connection, in milliseconds.
+const DEFAULT_IDLE_TIMEOUT_MS: u64 = 15_000;
 
-/// A queue and where callers reach it.
+/// A queue and the host and path prefix at which callers reach it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QueueRoute {
-    /// The host that callers name.
+    /// The host name in the requests of callers.
     pub host: String,
-    /// How the path begins.
+    /// The prefix of the request path.
     pub path_prefix: String,
-    /// How long a caller may wait for an answer, in milliseconds.
+    /// The timeout of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// The queue's terms.
+    /// The settings of the queue.
     pub queue: QueueTerms,
 }
 
-/// What one caller's connection may take.
+/// The limits on one connection of a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct CallerLimits {
-    /// The longest head of a request, in bytes.
+    /// The limit on the size of a request's headers, in bytes.
     pub max_header_bytes: usize,
-    /// The longest body of a request, in bytes.
+    /// The limit on the size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// How long a caller may take to send a head or a body, in milliseconds.
+    /// The timeout for receiving a request's headers or its body, in milliseconds.
     pub header_timeout_ms: u64,
-    /// How long a connection may stay unused, in milliseconds.
+    /// The idle timeout of a connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for CallerLimits {
     fn default() -> Self {
         Self {
-            max_header_bytes: MAX_HEADER_BYTES,
-            max_body_bytes: MAX_BODY_BYTES,
-            header_timeout_ms: HEADER_TIMEOUT_MS,
-            idle_timeout_ms: IDLE_TIMEOUT_MS,
+            max_header_bytes: DEFAULT_MAX_HEADER_BYTES,
+            max_body_bytes: DEFAULT_MAX_BODY_BYTES,
+            header_timeout_ms: DEFAULT_HEADER_TIMEOUT_MS,
+            idle_timeout_ms: DEFAULT_IDLE_TIMEOUT_MS,
         }
     }
 }
@@ -57,16 +56,17 @@
 /// One version of the operators' configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetConfig {
-    /// Its number. Numbers rise, in uneven steps.
+    /// The number of the version. Numbers increase, but not always by one.
     pub version: u64,
     /// The queues.
     pub routes: Vec<QueueRoute>,
-    /// What connections may take.
+    /// The limits on the connections of callers.
     pub limits: CallerLimits,
 }
 
 impl FleetConfig {
-    /// The queue that a host and path lead to, by the longest prefix, and the rest of the path.
+    /// Returns the queue with the longest path prefix that matches a host and path, and the rest of the
+    /// path.
     pub fn route<'a, 'p>(&'a self, host: &str, path: &'p str) -> Option<(&'a QueueRoute, &'p str)> {
         let matching = self.routes.iter().filter_map(|route| {
             let rest = path.strip_prefix(&route.path_prefix)?;
@@ -75,7 +75,7 @@
         matching.max_by_key(|(route, _)| route.path_prefix.len())
     }
 
-    /// The terms of all queues.
+    /// Returns the settings of all queues.
     pub fn queues(&self) -> Vec<QueueTerms> {
         self.routes.iter().map(|route| route.queue.clone()).collect()
     }
--- a/crates/kitetrail-core/src/ids.rs
+++ b/crates/kitetrail-core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers, each its own type so that one can't stand in for another.
+//! Defines identifiers. Each has its own type, so that one can't be used in place of another.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The most characters a name may have.
+/// The maximum length of a name, in characters.
 pub const MAX_ID_LEN: usize = 63;
 
 /// A name that does not follow the rules for names.
@@ -19,7 +19,7 @@
 )]
 pub struct InvalidId(pub String);
 
-/// Declares a newtype over a checked, cheaply cloned string.
+/// Declares a newtype over a validated string that is cheap to clone.
 macro_rules! name_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -28,7 +28,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -77,7 +77,7 @@
     ZoneId
 }
 name_type! {
-    /// The name of a team, the holder of a quota.
+    /// The name of a team, to which a quota can apply.
     TeamId
 }
 name_type! {
@@ -85,7 +85,7 @@
     SpecName
 }
 name_type! {
-    /// The class of a task: tasks of one class are expected to behave alike.
+    /// The class of a task. Tasks of the same class are expected to behave alike.
     TaskClass
 }
 
@@ -99,7 +99,7 @@
         pub struct $name(pub $inner);
 
         impl $name {
-            /// The value after this one.
+            /// Returns the next value.
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -122,19 +122,19 @@
 }
 
 counter_type! {
-    /// The reign of a shard's owner. It grows with every takeover.
+    /// The epoch of a shard's owner. It increases with each takeover.
     Epoch(u64)
 }
 counter_type! {
-    /// The run of a task. It grows each time the task goes back to the queue.
+    /// The number of a task's run. It increases each time the task returns to the queue.
     Attempt(u32)
 }
 counter_type! {
-    /// The version of a row in the table service. Zero means absent.
+    /// The version of a row in the table service. Zero means that the row is absent.
     Version(u64)
 }
 
-/// Gives a type of two parts the text form `first:second`, which also serialises it.
+/// Implements the text form `first:second`, also used for serialization, for a type of two parts.
 macro_rules! colon_pair {
     ($name:ident { $first:ident, $second:ident }) => {
         impl Display for $name {
@@ -178,7 +178,7 @@
 pub struct ShardId {
     /// The availability zone of the racks.
     pub zone: ZoneId,
-    /// The position among the zone's shards, from zero.
+    /// The position among the zone's shards, counted from zero.
     pub index: u16,
 }
 
@@ -188,31 +188,32 @@
 pub struct TaskId {
     /// The service, job or watcher the task belongs to.
     pub spec: SpecName,
-    /// The position among its tasks, from zero.
+    /// The position among its tasks, counted from zero.
     pub index: u32,
 }
 
-/// The id of one write to the table, stored in each row the write touches.
+/// The id of one write to the table, stored in each row that the write changes.
 ///
-/// An answer that was lost is resolved by reading a row back and comparing ids.
+/// If the answer to a write is lost, reading one of its rows back and comparing the ids shows whether
+/// it took effect.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "String", into = "String")]
 pub struct OpId(Arc<str>);
 
 impl OpId {
-    /// The id of a writer's `sequence`th write.
+    /// Returns the id of a writer's `sequence`th write.
     ///
-    /// `incarnation` tells runs of one writer apart.
+    /// `incarnation` distinguishes the runs of a writer.
     pub fn new(writer: &BoxId, incarnation: u64, sequence: u64) -> Self {
         Self(format!("{writer}/{incarnation:x}/{sequence}").into())
     }
 
-    /// The id an operator's tool chose for a change.
+    /// Returns the id for a change whose id was chosen by an operator's tool.
     pub fn from_change(change: &str) -> Self {
         Self(change.into())
     }
 
-    /// The id as text.
+    /// Returns the id as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/crates/kitetrail-core/src/lib.rs
+++ b/crates/kitetrail-core/src/lib.rs
@@ -1,9 +1,8 @@
-//! Every decision of kitetrail, as state machines without input or output.
+//! Implements every decision of kitetrail as state machines that do no input or output.
 //!
-//! Each machine takes an event and the present time and returns actions. Nothing
-//! here opens a socket, reads a clock, sleeps or draws ambient randomness, so any
-//! program can drive the core: the daemon, a test on virtual time or an outside
-//! bench.
+//! Each state machine takes an event and the current time and returns actions. The crate
+//! opens no socket, reads no clock, never sleeps and uses no ambient randomness, so any
+//! program can drive it: the daemon, a test on virtual time or an external benchmark.
 
 pub mod audit;
 pub mod calls;
--- a/crates/kitetrail-core/src/membership.rs
+++ b/crates/kitetrail-core/src/membership.rs
@@ -1,8 +1,9 @@
-//! Which boxes are up, and which of them is to own which shard.
+//! Determines which boxes are up and assigns shards to them.
 //!
-//! Three sources that all lag: heartbeats passed on between boxes, the box list, and a
-//! box's own word that it leaves. A box counts as up while its heartbeat grew within
-//! [`Membership::SUSPECT_AFTER`] and neither the box list nor itself says otherwise.
+//! It uses three sources that all lag: heartbeats exchanged by gossip, the box list, and
+//! a box's own announcement that it is leaving. A box is up if its heartbeat advanced
+//! within [`Membership::SUSPECT_AFTER`] and the box list does not show it as dead. A box
+//! that is leaving stays up but owns no shards.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,109 +19,111 @@
     fleet::{BoxInfo, Liveness},
 };
 
-/// How many peers are spoken to in each round.
-const FAN_OUT: usize = 3;
+/// The number of peers contacted in each gossip round.
+const GOSSIP_FANOUT: usize = 3;
 
-/// For how long a box that is not in the box list is remembered.
-const FORGET_AFTER: Duration = Duration::from_secs(600);
+/// The time for which a box that is not in the box list is retained after its heartbeat last
+/// advanced.
+const UNLISTED_RETENTION: Duration = Duration::from_secs(600);
 
-/// What is passed on about a box.
+/// The information about a box that is exchanged by gossip.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The box.
     pub id: BoxId,
-    /// Its run. A later run has a greater number.
+    /// The incarnation of the box. A later run has a higher number.
     pub incarnation: u64,
-    /// A number that grows with each of its rounds.
+    /// A counter that the box increments in each gossip round.
     pub beat: u64,
-    /// Whether it is about to stop.
+    /// Whether the box is about to stop.
     pub leaving: bool,
-    /// The configuration revision it has in force.
+    /// The configuration revision in force on the box.
     pub revision: u64,
 }
 
-/// A box as this one sees it.
+/// A box in the local view of the membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its latest heartbeat.
+    /// The latest heartbeat of the box.
     pub heartbeat: Heartbeat,
-    /// When that grew.
+    /// The local time when the heartbeat last advanced.
     pub grew_at: Time,
 }
 
-/// The boxes as this one sees them.
+/// The local view of the membership.
 #[derive(Debug)]
 pub struct Membership {
-    me: BoxId,
+    local_id: BoxId,
     listed: BTreeMap<BoxId, BoxInfo>,
     members: BTreeMap<BoxId, Member>,
     rng: ChaCha8Rng,
 }
 
 impl Membership {
-    /// For how long a box whose heartbeat doesn't grow counts as up.
+    /// The time after which a box whose heartbeat has not advanced is no longer up.
     pub const SUSPECT_AFTER: Duration = Duration::from_secs(4);
 
-    /// A view that knows this box alone.
-    pub fn new(me: BoxId, incarnation: u64, seed: u64, now: Time) -> Self {
+    /// Creates a view that contains only this box.
+    pub fn new(local_id: BoxId, incarnation: u64, seed: u64, now: Time) -> Self {
         let heartbeat =
-            Heartbeat { id: me.clone(), incarnation, beat: 0, leaving: false, revision: 0 };
-        let members = BTreeMap::from([(me.clone(), Member { heartbeat, grew_at: now })]);
-        Self { me, listed: BTreeMap::new(), members, rng: ChaCha8Rng::seed_from_u64(seed) }
+            Heartbeat { id: local_id.clone(), incarnation, beat: 0, leaving: false, revision: 0 };
+        let members = BTreeMap::from([(local_id.clone(), Member { heartbeat, grew_at: now })]);
+        Self { local_id, listed: BTreeMap::new(), members, rng: ChaCha8Rng::seed_from_u64(seed) }
     }
 
-    /// All boxes known, by name.
+    /// Returns all known boxes, ordered by name.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// All heartbeats, to be passed on.
+    /// Returns all known heartbeats, to be sent to peers.
     pub fn heartbeats(&self) -> Vec<Heartbeat> {
         self.members.values().map(|member| member.heartbeat.clone()).collect()
     }
 
-    /// Whether a box counts as up.
+    /// Returns whether a box is up.
     pub fn is_up(&self, id: &BoxId, now: Time) -> bool {
         let listed_dead = self.listed.get(id).is_some_and(|info| info.state == Liveness::Dead);
-        let fresh =
-            |member: &Member| *id == self.me || now.since(member.grew_at) < Self::SUSPECT_AFTER;
-        !listed_dead && self.members.get(id).is_some_and(fresh)
+        let is_fresh = |member: &Member| {
+            *id == self.local_id || now.since(member.grew_at) < Self::SUSPECT_AFTER
+        };
+        !listed_dead && self.members.get(id).is_some_and(is_fresh)
     }
 
-    /// Whether a box is up and staying.
+    /// Returns whether a box is up and not leaving.
     pub fn is_staying(&self, id: &BoxId, now: Time) -> bool {
         let leaving = self.members.get(id).is_some_and(|member| member.heartbeat.leaving)
             || self.listed.get(id).is_some_and(|info| info.state == Liveness::Leaving);
         self.is_up(id, now) && !leaving
     }
 
-    /// How many boxes are up, and the place of this one among them by name.
+    /// Returns the number of boxes that are up, and the index of this box among them, ordered by name.
     pub fn place(&self, now: Time) -> (u32, u32) {
         let up: Vec<&BoxId> = self.members.keys().filter(|id| self.is_up(id, now)).collect();
-        let place = up.iter().position(|id| **id == self.me).unwrap_or(0);
-        (up.len() as u32, place as u32)
+        let index = up.iter().position(|id| **id == self.local_id).unwrap_or(0);
+        (up.len() as u32, index as u32)
     }
 
-    /// The addresses of all other boxes in the box list.
+    /// Returns all other boxes in the box list that are not dead.
     pub fn peers(&self) -> impl Iterator<Item = &BoxInfo> {
-        self.listed.values().filter(|info| info.id != self.me && info.state != Liveness::Dead)
+        self.listed.values().filter(|info| info.id != self.local_id && info.state != Liveness::Dead)
     }
 
-    /// The boxes that may own a shard, first choice first.
+    /// Returns the candidate owners of each shard, the preferred one first.
     ///
-    /// Every box with the same view works out the same answer. Each shard goes to the
-    /// staying box of its availability zone that wins a draw by hash and does not hold
-    /// its even share yet.
+    /// Boxes with the same view compute the same result. Candidates are ranked by rendezvous
+    /// hashing, with boxes in the shard's availability zone first. The highest-ranked box
+    /// that does not have its even share of shards yet becomes the preferred owner.
     pub fn owners(&self, shards: &BTreeSet<ShardId>, now: Time) -> BTreeMap<ShardId, Vec<BoxId>> {
         let staying: Vec<&BoxId> =
             self.members.keys().filter(|id| self.is_staying(id, now)).collect();
-        let share = shards.len().div_ceil(staying.len().max(1));
+        let max_load = shards.len().div_ceil(staying.len().max(1));
         let mut load: BTreeMap<&BoxId, usize> = BTreeMap::new();
         let mut owners = BTreeMap::new();
         for shard in shards {
             let mut ranked = staying.clone();
-            ranked.sort_by_key(|id| (!self.is_in_zone_of(id, shard), draw(id, shard)));
-            let first = ranked.iter().position(|id| load.get(id).copied().unwrap_or(0) < share);
+            ranked.sort_by_key(|id| (!self.is_in_zone_of(id, shard), rendezvous_hash(id, shard)));
+            let first = ranked.iter().position(|id| load.get(id).copied().unwrap_or(0) < max_load);
             if let Some(first) = first {
                 let owner = ranked.remove(first);
                 *load.entry(owner).or_default() += 1;
@@ -135,19 +138,19 @@
         self.listed.get(id).is_some_and(|info| info.zone == shard.zone)
     }
 
-    /// Follows the box list.
+    /// Replaces the contents of the box list.
     pub fn set_listed(&mut self, boxes: Vec<BoxInfo>) {
         self.listed = boxes.into_iter().map(|info| (info.id.clone(), info)).collect();
     }
 
-    /// Starts a round: this box's heartbeat grows. Returns the peers to speak to.
+    /// Starts a gossip round: advances this box's heartbeat and returns the peers to contact.
     pub fn begin_round(&mut self, leaving: bool, revision: u64, now: Time) -> Vec<BoxInfo> {
         self.members.retain(|id, member| {
             self.listed.contains_key(id)
-                || now.since(member.grew_at) < FORGET_AFTER
-                || *id == self.me
+                || now.since(member.grew_at) < UNLISTED_RETENTION
+                || *id == self.local_id
         });
-        if let Some(member) = self.members.get_mut(&self.me) {
+        if let Some(member) = self.members.get_mut(&self.local_id) {
             member.heartbeat.beat += 1;
             member.heartbeat.leaving = leaving;
             member.heartbeat.revision = revision;
@@ -155,20 +158,20 @@
         }
         let mut peers: Vec<BoxInfo> = self.peers().cloned().collect();
         peers.shuffle(&mut self.rng);
-        peers.truncate(FAN_OUT);
+        peers.truncate(GOSSIP_FANOUT);
         peers
     }
 
-    /// Takes in heartbeats that were passed on.
+    /// Merges heartbeats received from a peer, keeping the latest of each box.
     pub fn merge(&mut self, heartbeats: Vec<Heartbeat>, now: Time) {
         for heartbeat in heartbeats {
-            if heartbeat.id == self.me {
+            if heartbeat.id == self.local_id {
                 continue;
             }
-            let newest = |h: &Heartbeat| (h.incarnation, h.beat);
+            let recency = |heartbeat: &Heartbeat| (heartbeat.incarnation, heartbeat.beat);
             match self.members.get_mut(&heartbeat.id) {
-                Some(known) if newest(&heartbeat) > newest(&known.heartbeat) => {
-                    *known = Member { heartbeat, grew_at: now };
+                Some(member) if recency(&heartbeat) > recency(&member.heartbeat) => {
+                    *member = Member { heartbeat, grew_at: now };
                 }
                 Some(_) => {}
                 None => {
@@ -180,7 +183,7 @@
     }
 }
 
-/// The place of a box in the draw for a shard.
-fn draw(id: &BoxId, shard: &ShardId) -> u64 {
+/// Returns the rendezvous hash of a box for a shard. The lowest hash ranks first.
+fn rendezvous_hash(id: &BoxId, shard: &ShardId) -> u64 {
     xxhash_rust::xxh3::xxh3_64(format!("{id}|{shard}").as_bytes())
 }
--- a/crates/kitetrail-core/src/succession.rs
+++ b/crates/kitetrail-core/src/succession.rs
@@ -1,4 +1,5 @@
-//! Which box should own a fleet: how much each can carry, and who follows an owner that gives it up.
+//! Selects the box that should own a fleet, by the capacity of each box, and the successor of an owner
+//! that stops.
 
 use std::{
     collections::BTreeMap,
@@ -10,63 +11,71 @@
 
 use crate::Time;
 
-/// The processor time that owning a worker takes, in millionths of a core (docs/CAPACITY.md).
+/// The processor time that the owner needs for each worker, in millionths of a core
+/// (docs/CAPACITY.md).
 const MICRO_CORES_PER_WORKER: u64 = 450;
-/// The traffic that owning a worker takes, in kilobits a second (docs/CAPACITY.md).
-const KBIT_PER_WORKER: u64 = 23;
-/// A box that can own fewer workers than this share of what the strongest one can is weak, in
-/// percent. Boxes of one kind differ by nothing, those of different kinds by two times or more.
-const WEAK_BELOW_PERCENT: u32 = 70;
-/// How long a weak box leaves a lost owner's place to a stronger one: most find out within two of
-/// their questions to the owner, 400 ms apart.
-const WEAK_WAIT: Duration = Duration::from_millis(600);
-/// A box that has not asked for so long is no candidate: it may be gone. More than two questions,
-/// less than the time in which the loss of a box is noticed otherwise.
-const HEARD_WITHIN: Duration = Duration::from_millis(1_200);
-
-/// Until when owners before the present one may renew leases.
+/// The traffic that the owner needs for each worker, in kilobits per second (docs/CAPACITY.md).
+const LINK_KBIT_PER_S_PER_WORKER: u64 = 23;
+/// The share of another box's strength below which a box is weak beside it, in percent. Boxes of the
+/// same kind do not differ, and those of different kinds differ by a factor of two or more.
+const WEAK_STRENGTH_PERCENT: u32 = 70;
+/// The delay before a weak box claims the ownership of a lost owner, so that a stronger box can
+/// claim it first. Most boxes detect the loss within two of their requests to the owner, which are
+/// 400 ms apart.
+const WEAK_CLAIM_DELAY: Duration = Duration::from_millis(600);
+/// The time since its last request after which a box is no longer a candidate, because it may have
+/// stopped. It is longer than two request intervals, and shorter than the time in which the loss of a
+/// box is detected by other means.
+const CANDIDATE_TIMEOUT: Duration = Duration::from_millis(1_200);
+
+/// The times until which the owners before the current one may renew leases.
 ///
-/// One that was lost in silence may go on without the store for a bounded time. One that stopped for certain does not, but
-/// those before it may: each owner says in its writes how long they may, for the one that follows it.
+/// An owner that was lost without confirmation that it stopped may continue without the store for a
+/// bounded time. An owner known to have stopped does not, but its predecessors may: each owner records
+/// in its writes how long they may, for its successor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EarlierOwners {
-    /// Until when all but the last of them may.
-    but_last_until: Time,
-    /// Until when the last of them may.
+    /// The time until which all but the most recent one may renew leases.
+    predecessors_until: Time,
+    /// The time until which the most recent one may renew leases.
     last_until: Time,
 }
 
 impl EarlierOwners {
-    /// Those before an owner that takes over at a moment. The last of them had written how long those before it may renew leases,
-    /// and does so itself without the store for a bounded time, unless it stopped for certain.
+    /// Returns the earlier owners as seen by an owner that takes over now.
+    ///
+    /// `may_renew_for` is the time for which the predecessors of the most recent owner may renew leases,
+    /// as recorded by that owner. Unless it is known to have stopped, the most recent owner itself may
+    /// renew leases for `renew_without_store`.
     pub fn new(
         may_renew_for: Duration,
         last_stopped: bool,
         renew_without_store: Duration,
         now: Time,
     ) -> Self {
-        let last_for = if last_stopped { Duration::ZERO } else { renew_without_store };
-        Self { but_last_until: now + may_renew_for, last_until: now + last_for }
+        let last_renews_for = if last_stopped { Duration::ZERO } else { renew_without_store };
+        Self { predecessors_until: now + may_renew_for, last_until: now + last_renews_for }
     }
 
-    /// How long any of them may go on.
+    /// Returns the time for which any of them may still renew leases.
     pub fn may_renew_for(self, now: Time) -> Duration {
-        self.but_last_until.max(self.last_until).since(now)
+        self.predecessors_until.max(self.last_until).since(now)
     }
 
-    /// Whether the last of them may.
+    /// Returns whether the most recent one may still renew leases.
     pub fn last_may_renew(self, now: Time) -> bool {
         now < self.last_until
     }
 
-    /// Takes note that the last of them has stopped by now. Returns after which moment none of them renews leases.
+    /// Records that the most recent one has stopped by now, and returns the time after which none of
+    /// them renews leases.
     pub fn note_last_stopped(&mut self, now: Time) -> Time {
         self.last_until = self.last_until.min(now);
-        self.but_last_until.max(self.last_until)
+        self.predecessors_until.max(self.last_until)
     }
 }
 
-/// How many workers a box can own, by its processor time and its link.
+/// The number of workers that a box can own, given its processor time and its link.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -74,22 +83,23 @@
 pub struct BoxStrength(pub u32);
 
 impl BoxStrength {
-    /// The strength of a box with so much of a core, in thousandths, and so fast a link.
+    /// Returns the strength of a box with the given processor time, in thousandths of a core, and link
+    /// rate, in kilobits per second.
     pub fn of(processor_millis: u64, link_kbit_per_s: u64) -> Self {
         let by_processor = processor_millis * 1_000 / MICRO_CORES_PER_WORKER;
-        let by_link = link_kbit_per_s / KBIT_PER_WORKER;
+        let by_link = link_kbit_per_s / LINK_KBIT_PER_S_PER_WORKER;
         Self(u32::try_from(by_processor.min(by_link)).unwrap_or(u32::MAX))
     }
 
-    /// Whether a box of this strength is weak beside one of another.
+    /// Returns whether a box of this strength is weak beside one of the given strength.
     pub fn is_weak_beside(self, other: BoxStrength) -> bool {
-        u64::from(self.0) * 100 < u64::from(other.0) * u64::from(WEAK_BELOW_PERCENT)
+        u64::from(self.0) * 100 < u64::from(other.0) * u64::from(WEAK_STRENGTH_PERCENT)
     }
 
-    /// How long a box of this strength leaves a lost owner's place to others, if the strongest known
-    /// box has the given one.
+    /// Returns the delay before a box of this strength claims the ownership of a lost owner, given the
+    /// strength of the strongest known box.
     pub fn claim_wait(self, strongest: BoxStrength) -> Duration {
-        if self.is_weak_beside(strongest) { WEAK_WAIT } else { Duration::ZERO }
+        if self.is_weak_beside(strongest) { WEAK_CLAIM_DELAY } else { Duration::ZERO }
     }
 }
 
@@ -99,18 +109,18 @@
     }
 }
 
-/// A box that could own the fleet, as it told the owner.
+/// A box that could own the fleet, as it described itself to the owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
-    /// What it can carry.
+    /// The strength of the box.
     pub strength: BoxStrength,
-    /// When it started.
+    /// The time when the box started.
     pub started_at: Time,
-    /// When it was heard last.
+    /// The time of the last request from the box.
     pub heard_at: Time,
 }
 
-/// The boxes that could follow the owner, by where they answer.
+/// The boxes that could succeed the owner, by address.
 #[derive(Debug, Clone)]
 pub struct Candidates<K> {
     boxes: BTreeMap<K, Candidate>,
@@ -123,47 +133,49 @@
 }
 
 impl<K: Ord + Copy> Candidates<K> {
-    /// The best boxes to follow the owner, best first.
+    /// Returns the candidates to succeed the owner, the best one first.
     ///
-    /// Strong ones before weak ones; among these, the one that started last: where boxes are
-    /// restarted one after the other, it has its restart behind it.
+    /// Strong boxes come before weak ones, and within each group the most recently started box comes
+    /// first: during a rolling restart, that box has already been restarted.
     pub fn successors(&self, now: Time) -> Vec<K> {
         let strongest = self.strongest(now);
-        let weak = |candidate: &Candidate| candidate.strength.is_weak_beside(strongest);
-        let mut heard = self.heard(now).collect::<Vec<_>>();
-        heard.sort_by(|(_, a), (_, b)| weak(a).cmp(&weak(b)).then(b.started_at.cmp(&a.started_at)));
-        heard.into_iter().map(|(key, _)| key).collect()
+        let is_weak = |candidate: &Candidate| candidate.strength.is_weak_beside(strongest);
+        let mut recent = self.recent(now).collect::<Vec<_>>();
+        recent.sort_by(|(_, a), (_, b)| {
+            is_weak(a).cmp(&is_weak(b)).then(b.started_at.cmp(&a.started_at))
+        });
+        recent.into_iter().map(|(key, _)| key).collect()
     }
 
-    /// The best box to follow an owner of the given strength that is weak beside it.
+    /// Returns the best candidate, if an owner of the given strength is weak beside it.
     pub fn much_stronger(&self, than: BoxStrength, now: Time) -> Option<K> {
         let first = self.successors(now).into_iter().next()?;
         let candidate = self.boxes.get(&first)?;
         than.is_weak_beside(candidate.strength).then_some(first)
     }
 
-    /// The greatest strength of any box that was heard lately.
+    /// Returns the highest strength among the candidates with a recent request.
     pub fn strongest(&self, now: Time) -> BoxStrength {
-        self.heard(now).map(|(_, candidate)| candidate.strength).max().unwrap_or_default()
+        self.recent(now).map(|(_, candidate)| candidate.strength).max().unwrap_or_default()
     }
 
-    /// Takes note of what a box told of itself.
+    /// Adds or updates a candidate, and drops those without a recent request.
     pub fn note(&mut self, key: K, candidate: Candidate) {
-        self.boxes.retain(|_, known| is_heard(known, candidate.heard_at));
+        self.boxes.retain(|_, other| is_recent(other, candidate.heard_at));
         self.boxes.insert(key, candidate);
     }
 
-    /// Takes a box out: it is stopping.
+    /// Removes a box that is stopping.
     pub fn remove(&mut self, key: K) {
         self.boxes.remove(&key);
     }
 
-    fn heard(&self, now: Time) -> impl Iterator<Item = (K, Candidate)> + '_ {
+    fn recent(&self, now: Time) -> impl Iterator<Item = (K, Candidate)> + '_ {
         let boxes = self.boxes.iter().map(|(&key, &candidate)| (key, candidate));
-        boxes.filter(move |(_, candidate)| is_heard(candidate, now))
+        boxes.filter(move |(_, candidate)| is_recent(candidate, now))
     }
 }
 
-fn is_heard(candidate: &Candidate, now: Time) -> bool {
-    now.since(candidate.heard_at) <= HEARD_WITHIN
+fn is_recent(candidate: &Candidate, now: Time) -> bool {
+    now.since(candidate.heard_at) <= CANDIDATE_TIMEOUT
 }
--- a/crates/kitetrail-core/src/table.rs
+++ b/crates/kitetrail-core/src/table.rs
@@ -1,4 +1,4 @@
-//! The rows kitetrail keeps in the platform's table service, and changes to them.
+//! Defines the rows that kitetrail stores in the platform's table service, and transactions on them.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -13,57 +13,58 @@
     task::{InboxItem, SpecRow, TaskRow},
 };
 
-/// The name of a row.
+/// The key of a row.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key(String);
 
 impl Key {
-    /// The row that says who owns a shard.
+    /// Returns the key of a shard's lease.
     pub fn lease(shard: &ShardId) -> Self {
         Self(format!("lease/{shard}"))
     }
 
-    /// The row of a task.
+    /// Returns the key of a task.
     pub fn task(shard: &ShardId, task: &TaskId) -> Self {
         Self(format!("task/{shard}/{task}"))
     }
 
-    /// The row of a message to a shard's owner, named by the write that put it there.
+    /// Returns the key of a message to a shard's owner, which contains the id of the write that added
+    /// the message.
     pub fn inbox(shard: &ShardId, op: &OpId) -> Self {
         Self(format!("inbox/{shard}/{op}"))
     }
 
-    /// The row of a service, job or watcher.
+    /// Returns the key of a service, job or watcher.
     pub fn spec(name: &SpecName) -> Self {
         Self(format!("spec/{name}"))
     }
 
-    /// The row that names the configuration revision in force.
+    /// Returns the key of the row with the number of the configuration revision in force.
     pub fn config_head() -> Self {
         Self("config/head".to_owned())
     }
 
-    /// The row of a configuration revision.
+    /// Returns the key of a configuration revision.
     pub fn config_revision(number: u64) -> Self {
         Self(format!("config/revision/{number:012}"))
     }
 
-    /// The row that records a change. Names sort by time.
+    /// Returns the key of an audit entry. Keys sort by time.
     pub fn audit(at_unix_ms: u64, change: &str) -> Self {
         Self(format!("audit/{at_unix_ms:015}/{change}"))
     }
 
-    /// The row of a call that must not run twice.
+    /// Returns the key of a call that must run at most once.
     pub fn call(service: &SpecName, call: &str) -> Self {
         Self(format!("call/{service}/{call}"))
     }
 
-    /// The row of a name that came from outside.
+    /// Returns the key for a name received from outside the process.
     pub fn from_name(name: &str) -> Self {
         Self(name.to_owned())
     }
 
-    /// The name as text.
+    /// Returns the key as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -75,47 +76,47 @@
     }
 }
 
-/// The start shared by the names of a range of rows.
+/// The prefix shared by the keys of a range of rows.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Prefix(String);
 
 impl Prefix {
-    /// All tasks of a shard.
+    /// Returns the prefix of all tasks of a shard.
     pub fn tasks(shard: &ShardId) -> Self {
         Self(format!("task/{shard}/"))
     }
 
-    /// The tasks of one spec in a shard.
+    /// Returns the prefix of the tasks of one spec in a shard.
     pub fn tasks_of(shard: &ShardId, spec: &SpecName) -> Self {
         Self(format!("task/{shard}/{spec}:"))
     }
 
-    /// The messages to a shard's owner.
+    /// Returns the prefix of the messages to a shard's owner.
     pub fn inbox(shard: &ShardId) -> Self {
         Self(format!("inbox/{shard}/"))
     }
 
-    /// All specs.
+    /// Returns the prefix of all specs.
     pub fn specs() -> Self {
         Self("spec/".to_owned())
     }
 
-    /// All shard leases.
+    /// Returns the prefix of all shard leases.
     pub fn leases() -> Self {
         Self("lease/".to_owned())
     }
 
-    /// All recorded changes, oldest first.
+    /// Returns the prefix of all audit entries, which sort from oldest to newest.
     pub fn audit() -> Self {
         Self("audit/".to_owned())
     }
 
-    /// All configuration revisions.
+    /// Returns the prefix of all configuration revisions.
     pub fn config_revisions() -> Self {
         Self("config/revision/".to_owned())
     }
 
-    /// The start as text.
+    /// Returns the prefix as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -125,7 +126,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "kebab-case")]
 pub enum Record {
-    /// Who owns a shard.
+    /// The lease of a shard.
     Lease(LeaseRow),
     /// A task.
     Task(TaskRow),
@@ -138,67 +139,67 @@
     Spec(SpecRow),
     /// The number of the configuration revision in force.
     ConfigHead {
-        /// The number.
+        /// The number of the revision.
         revision: u64,
     },
     /// A configuration revision.
     ConfigRevision(Revision),
-    /// A recorded change.
+    /// An audit entry.
     Audit(AuditEntry),
-    /// A call that must not run twice.
+    /// A call that must run at most once.
     Call(CallRow),
 }
 
-/// A row as it was read.
+/// A row as read from the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Its name.
+    /// The key of the row.
     pub key: Key,
-    /// Its version at the time of reading.
+    /// The version of the row when it was read.
     pub version: Version,
-    /// The write that gave it this version.
+    /// The write that produced this version.
     pub op: OpId,
-    /// Its contents.
+    /// The contents of the row.
     pub record: Record,
 }
 
-/// A demand on a row's version.
+/// A precondition on the version of a row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
-    /// The row.
+    /// The key of the row.
     pub key: Key,
-    /// The version it must have; zero demands that it is absent.
+    /// The version that the row must have. Zero requires that it is absent.
     pub version: Version,
 }
 
-/// A change of one row.
+/// A change to one row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
-    /// The row.
+    /// The key of the row.
     pub key: Key,
-    /// Its new contents, or `None` to delete it.
+    /// The new contents of the row, or `None` to delete it.
     pub record: Option<Record>,
 }
 
-/// Changes that happen together, if every condition holds, or not at all.
+/// A set of writes that are applied atomically if every condition holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// The id of this write, kept in every row it writes.
+    /// The id of the transaction, stored in every row that it writes.
     pub op: OpId,
-    /// What must hold.
+    /// The conditions that must hold.
     pub conditions: Vec<Condition>,
-    /// What changes.
+    /// The writes to apply.
     pub writes: Vec<Write>,
 }
 
-/// What is known of a transaction that was sent.
+/// The known outcome of a transaction that was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CommitAnswer {
-    /// It took effect and gave its rows this version.
+    /// The transaction took effect and gave its rows this version.
     Committed(Version),
-    /// A condition did not hold when this answer was made.
+    /// A condition did not hold when the table answered.
     Conflict,
-    /// No answer came: it may have taken effect, or may yet.
+    /// No answer was received: the transaction may have taken effect, or may still do so.
     Unknown,
 }
--- a/crates/kitetrail-core/src/task.rs
+++ b/crates/kitetrail-core/src/task.rs
@@ -1,4 +1,4 @@
-//! What operators ask for, and the durable life of each task.
+//! Defines the specs that operators submit, and the durable state of each task.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -7,20 +7,20 @@
 
 use crate::{Attempt, Resources, ShardId, SpecName, TaskClass, TaskId, TeamId, WorkerId};
 
-/// What kind of work a spec describes.
+/// The kind of work that a spec describes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Answers callers and is kept at a number of replicas.
+    /// Serves callers with a fixed number of replicas.
     Service,
     /// Runs to completion.
     Job,
-    /// Runs always, in exactly one place.
+    /// Runs continuously, in exactly one place.
     Watcher,
 }
 
 impl Kind {
-    /// Whether a second copy of a running task would break a promise.
+    /// Returns whether a task must not run in two places at once.
     pub fn is_exclusive(self) -> bool {
         match self {
             Kind::Service => false,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Whether a task that ended well is started again.
+    /// Returns whether a task that completed successfully is started again.
     pub fn runs_forever(self) -> bool {
         match self {
             Kind::Job => false,
@@ -47,42 +47,42 @@
     }
 }
 
-/// A service, batch job or watcher as an operator states it.
+/// A service, batch job or watcher as specified by an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Builder)]
 #[serde(deny_unknown_fields)]
 pub struct Spec {
-    /// Its name, unique among all kinds.
+    /// The name of the spec, unique across all kinds.
     pub name: SpecName,
-    /// What kind of work it is.
+    /// The kind of work.
     pub kind: Kind,
-    /// The team that owns it.
+    /// The team that owns the spec.
     pub team: TeamId,
-    /// The class its tasks belong to.
+    /// The class of its tasks.
     pub class: TaskClass,
-    /// How many tasks it has: replicas of a service, parts of a job.
+    /// The number of its tasks: replicas of a service, or parts of a job.
     #[builder(default = 1)]
     pub tasks: u32,
-    /// What each task takes.
+    /// The resources that each task needs.
     pub size: Resources,
-    /// How long a task is expected to run. Zero if not known.
+    /// The expected run time of a task, in milliseconds. Zero if unknown.
     #[serde(default)]
     #[builder(default = 0)]
     pub expected_run_ms: u64,
-    /// How much it matters. Higher goes first.
+    /// The priority. Higher values are placed first.
     #[serde(default)]
     #[builder(default = 0)]
     pub priority: u8,
 }
 
-/// Why a task came to rest for good.
+/// The reason why a task ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ending {
-    /// It ran to its end.
+    /// The task ran to completion.
     Done,
-    /// It failed on too many sound workers, or crashed too many.
+    /// The task failed on too many healthy workers, or crashed too many workers.
     Failed,
-    /// Its operator cancelled it.
+    /// The operator cancelled the task.
     Cancelled,
 }
 
@@ -96,36 +96,36 @@
     }
 }
 
-/// Where a task stands in its life.
+/// The stage of a task in its life cycle.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stage {
-    /// Waits for a worker.
+    /// The task waits for a worker.
     Queued,
-    /// Granted to a worker, which runs it or is about to.
+    /// The task is assigned to a worker, which runs it or is about to.
     Placed {
         /// The worker.
         worker: WorkerId,
-        /// The worker's run. After a restart of the worker the grant is void.
+        /// The boot number of the worker. A restart of the worker voids the assignment.
         boot: u64,
     },
-    /// At rest for good.
+    /// The task ended and will not run again.
     Ended(Ending),
 }
 
 /// The durable row of a task.
 ///
-/// A row is written only by the owner of its shard. `attempt` names one run: it is
-/// raised in the transaction that sends the task back to the queue.
+/// Only the owner of its shard writes a row. `attempt` identifies one run: it is
+/// incremented in the transaction that returns the task to the queue.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRow {
     /// The task.
     pub id: TaskId,
-    /// What its operator asked for.
+    /// The spec of the task.
     pub spec: Spec,
-    /// The present run, or the next one while queued.
+    /// The current run, or the next one while the task is queued.
     pub attempt: Attempt,
-    /// Where it stands.
+    /// The stage of the task.
     pub stage: Stage,
     /// The progress saved by the last checkpoint, in milliseconds of work.
     #[serde(default)]
@@ -133,20 +133,20 @@
     /// The workers on which a run failed.
     #[serde(default)]
     pub failed_on: Vec<WorkerId>,
-    /// The workers that were lost just as it had started there, one run after the other.
+    /// The workers that were lost shortly after the task started on them, in consecutive runs.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashed_on: Vec<WorkerId>,
-    /// Whether its operator cancelled it while it was placed.
+    /// Whether the operator cancelled the task while it was placed.
     #[serde(default)]
     pub cancelled: bool,
-    /// The time of day when it came to rest, in milliseconds since 1970. Zero if it has
-    /// not, or if its owner did not know the time.
+    /// The time when the task ended, in milliseconds since the Unix epoch. Zero if it has
+    /// not ended, or if its owner did not know the time.
     #[serde(default)]
     pub ended_unix_ms: u64,
 }
 
 impl TaskRow {
-    /// The row of a task that was just submitted.
+    /// Returns the row of a newly submitted task.
     pub fn queued(spec: &Spec, index: u32) -> Self {
         Self {
             id: TaskId { spec: spec.name.clone(), index },
@@ -161,7 +161,7 @@
         }
     }
 
-    /// The worker the task is granted to.
+    /// Returns the worker to which the task is assigned, if any.
     pub fn worker(&self) -> Option<&WorkerId> {
         match &self.stage {
             Stage::Placed { worker, .. } => Some(worker),
@@ -169,40 +169,40 @@
         }
     }
 
-    /// Whether the task is at rest for good.
+    /// Returns whether the task has ended.
     pub fn is_ended(&self) -> bool {
         matches!(self.stage, Stage::Ended(_))
     }
 }
 
-/// A message to the owner of a shard, kept in the table until the owner acts on it.
+/// A message to the owner of a shard, stored in the table until the owner processes it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InboxItem {
-    /// Take these tasks.
+    /// Adds tasks to the shard.
     Submit {
-        /// What they belong to.
+        /// The spec of the tasks.
         spec: Spec,
-        /// The first task's index.
+        /// The index of the first task.
         first: u32,
-        /// How many tasks from there.
+        /// The number of tasks, starting at that index.
         count: u32,
     },
-    /// Stop all tasks of a spec for good.
+    /// Cancels all tasks of a spec.
     Cancel {
         /// The spec.
         spec: SpecName,
     },
 }
 
-/// The durable row of a spec: what was asked and which shards hold its tasks.
+/// The durable row of a spec, with the shards that hold its tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SpecRow {
-    /// What was asked.
+    /// The spec.
     pub spec: Spec,
     /// The shards that hold its tasks.
     pub shards: Vec<ShardId>,
-    /// Whether its operator cancelled or deleted it.
+    /// Whether the operator cancelled or deleted the spec.
     #[serde(default)]
     pub cancelled: bool,
 }
--- a/crates/kitetrail-core/src/time.rs
+++ b/crates/kitetrail-core/src/time.rs
@@ -1,4 +1,4 @@
-//! The core's notion of time: what its caller says it is.
+//! Defines moments in time, which callers pass to the core.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -8,9 +8,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A moment on one process's monotonic clock, counted from an arbitrary start.
+/// A moment on the monotonic clock of one process, measured from an arbitrary start.
 ///
-/// Moments of different processes can't be compared.
+/// Moments of different processes are not comparable.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -22,27 +22,27 @@
     /// The start of the clock.
     pub const ZERO: Time = Time { since_start_us: 0 };
 
-    /// The moment `ms` milliseconds after the start.
+    /// Returns the moment `ms` milliseconds after the start.
     pub const fn from_ms(ms: u64) -> Self {
         Self { since_start_us: ms * 1_000 }
     }
 
-    /// The moment `us` microseconds after the start.
+    /// Returns the moment `us` microseconds after the start.
     pub const fn from_us(us: u64) -> Self {
         Self { since_start_us: us }
     }
 
-    /// The whole milliseconds since the start.
+    /// Returns the number of whole milliseconds since the start.
     pub const fn as_ms(self) -> u64 {
         self.since_start_us / 1_000
     }
 
-    /// The microseconds since the start.
+    /// Returns the number of microseconds since the start.
     pub const fn as_us(self) -> u64 {
         self.since_start_us
     }
 
-    /// The time passed since `earlier`, zero if `earlier` is later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.since_start_us.saturating_sub(earlier.since_start_us))
     }
@@ -51,18 +51,18 @@
 impl Add<Duration> for Time {
     type Output = Time;
 
-    fn add(self, span: Duration) -> Time {
-        let span_us = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-        Time { since_start_us: self.since_start_us.saturating_add(span_us) }
+    fn add(self, duration: Duration) -> Time {
+        let duration_us = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
+        Time { since_start_us: self.since_start_us.saturating_add(duration_us) }
     }
 }
 
 impl Sub<Duration> for Time {
     type Output = Time;
 
-    fn sub(self, span: Duration) -> Time {
-        let span_us = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-        Time { since_start_us: self.since_start_us.saturating_sub(span_us) }
+    fn sub(self, duration: Duration) -> Time {
+        let duration_us = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
+        Time { since_start_us: self.since_start_us.saturating_sub(duration_us) }
     }
 }
 
--- a/crates/kitetrail-core/src/units.rs
+++ b/crates/kitetrail-core/src/units.rs
@@ -1,4 +1,4 @@
-//! Sizes: processors, memory, accelerators and their sums.
+//! Defines resource sizes: processor time, memory, accelerators and combinations of them.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -8,13 +8,13 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A size that can't be read.
+/// The error returned when a size can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("`{text}` is not a valid size: write {expected}")]
 pub struct InvalidSize {
-    /// What was given.
+    /// The text that could not be parsed.
     pub text: String,
-    /// What would have been right.
+    /// The expected form.
     pub expected: &'static str,
 }
 
@@ -93,7 +93,7 @@
     }
 }
 
-/// What a worker has, or what a task takes of it.
+/// The resources of a worker, or those that a task needs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Resources {
@@ -107,7 +107,7 @@
 }
 
 impl Resources {
-    /// Resources of the given sizes.
+    /// Returns resources of the given sizes.
     pub const fn new(cpu_millis: u32, memory_mb: u32, accelerators: u16) -> Self {
         Self {
             cpu_millis: CpuMillis(cpu_millis),
@@ -116,28 +116,28 @@
         }
     }
 
-    /// Whether `self` is no larger than `room` in every dimension.
-    pub fn fits_in(&self, room: &Resources) -> bool {
-        self.cpu_millis <= room.cpu_millis
-            && self.memory_mb <= room.memory_mb
-            && self.accelerators <= room.accelerators
+    /// Returns whether `self` is no larger than `available` in every dimension.
+    pub fn fits_in(&self, available: &Resources) -> bool {
+        self.cpu_millis <= available.cpu_millis
+            && self.memory_mb <= available.memory_mb
+            && self.accelerators <= available.accelerators
     }
 
-    /// What is left of `self` after `taken`, or `None` if `taken` does not fit.
-    pub fn checked_sub(&self, taken: &Resources) -> Option<Resources> {
+    /// Returns the rest of `self` without `used`, or `None` if `used` does not fit.
+    pub fn checked_sub(&self, used: &Resources) -> Option<Resources> {
         Some(Resources {
-            cpu_millis: CpuMillis(self.cpu_millis.0.checked_sub(taken.cpu_millis.0)?),
-            memory_mb: MemoryMb(self.memory_mb.0.checked_sub(taken.memory_mb.0)?),
-            accelerators: Accelerators(self.accelerators.0.checked_sub(taken.accelerators.0)?),
+            cpu_millis: CpuMillis(self.cpu_millis.0.checked_sub(used.cpu_millis.0)?),
+            memory_mb: MemoryMb(self.memory_mb.0.checked_sub(used.memory_mb.0)?),
+            accelerators: Accelerators(self.accelerators.0.checked_sub(used.accelerators.0)?),
         })
     }
 
-    /// The sum of both, capped at the largest value of each dimension.
-    pub fn saturating_add(&self, more: &Resources) -> Resources {
+    /// Returns the sum of both, saturating in each dimension.
+    pub fn saturating_add(&self, other: &Resources) -> Resources {
         Resources {
-            cpu_millis: CpuMillis(self.cpu_millis.0.saturating_add(more.cpu_millis.0)),
-            memory_mb: MemoryMb(self.memory_mb.0.saturating_add(more.memory_mb.0)),
-            accelerators: Accelerators(self.accelerators.0.saturating_add(more.accelerators.0)),
+            cpu_millis: CpuMillis(self.cpu_millis.0.saturating_add(other.cpu_millis.0)),
+            memory_mb: MemoryMb(self.memory_mb.0.saturating_add(other.memory_mb.0)),
+            accelerators: Accelerators(self.accelerators.0.saturating_add(other.accelerators.0)),
         }
     }
 }
--- a/crates/kitetrail-core/src/worker.rs
+++ b/crates/kitetrail-core/src/worker.rs
@@ -1,8 +1,8 @@
-//! The exchange between a shard's owner and a worker.
+//! Defines the protocol between the owner of a shard and a worker.
 //!
-//! Leases are stated as moments on the *worker's* clock, worked out by the owner
-//! from the last moment the worker reported. However late an order arrives, it can
-//! only grant what the owner already counts on.
+//! Leases expire at moments on the *worker's* clock, which the owner computes from the
+//! last clock value that the worker reported. A delayed order therefore never grants
+//! more time than the owner already accounts for.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -10,17 +10,17 @@
 
 use crate::{Attempt, Epoch, Resources, ShardId, TaskClass, TaskId, task::Kind};
 
-/// What the owner wants of a task.
+/// The state of a task that the owner requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Want {
-    /// Run it at full speed.
+    /// Run the task at full speed.
     Run,
-    /// Run it at a reduced speed, to relieve what shares the worker.
+    /// Run the task at reduced speed, to relieve the other tasks on the worker.
     Throttle,
-    /// Save its progress, then stop it.
+    /// Save the task's progress, then stop it.
     Checkpoint,
-    /// Stop it.
+    /// Stop the task.
     Stop,
 }
 
@@ -35,99 +35,100 @@
     }
 }
 
-/// One task as the owner wants it on a worker.
+/// An order from the owner to a worker about one task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// The task.
     pub task: TaskId,
-    /// The run.
+    /// The run of the task.
     pub attempt: Attempt,
-    /// What to do with it.
+    /// The requested state.
     pub want: Want,
-    /// What kind of work it is.
+    /// The kind of work.
     pub kind: Kind,
-    /// The class it belongs to.
+    /// The class of the task.
     pub class: TaskClass,
-    /// What it may take.
+    /// The resources that the task may use.
     pub size: Resources,
     /// The progress to resume from, in milliseconds of work.
     pub resume_ms: u64,
-    /// The work the task has in all, in milliseconds. Zero runs until stopped.
+    /// The total work of the task, in milliseconds. A task with zero runs until it is stopped.
     pub work_ms: u64,
-    /// The moment on the worker's clock up to which it may run, in milliseconds.
+    /// The moment on the worker's clock until which the task may run, in milliseconds.
     pub lease_until_ms: u64,
 }
 
-/// What an owner wants of a worker's tasks.
+/// The part of a sync request about the worker's tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Wants {
-    /// Nothing yet: the owner wants to hear first.
+    /// The owner only requests a report.
     Listen,
-    /// These tasks. One that the worker runs for this shard and isn't named is stopped.
+    /// The complete list of orders. The worker stops tasks of this shard that are not listed.
     Orders {
-        /// The number of this list among those of one reign.
+        /// The number of this list within one epoch.
         list: u64,
-        /// The tasks.
+        /// The orders, one for each task.
         orders: Vec<Order>,
     },
-    /// What a list said that the worker goes by, with all its leases extended.
+    /// Extends all leases of the list of orders that the worker follows.
     Renew {
-        /// The number of the list. A worker that goes by another one ignores this.
+        /// The number of the list. A worker that follows another list ignores the renewal.
         list: u64,
-        /// The moment on the worker's clock up to which its tasks may run, in
+        /// The moment on the worker's clock until which its tasks may run, in
         /// milliseconds.
         lease_until_ms: u64,
     },
 }
 
-/// Everything the owner wants of a worker.
+/// A request from the owner of a shard to a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncRequest {
-    /// The shard that speaks.
+    /// The shard of the owner.
     pub shard: ShardId,
-    /// The reign of its owner. A worker refuses a lower one.
+    /// The epoch of the owner. A worker refuses a lower epoch than one it has seen.
     pub epoch: Epoch,
-    /// The worker's run this was worked out for, or zero for a first contact.
+    /// The boot number of the worker that the request is for, or zero on first contact.
     pub boot: u64,
-    /// The order of this request among those of one reign. A worker ignores a lower one.
+    /// The sequence number of the request within one epoch. A worker ignores a lower number than one
+    /// it has seen.
     pub sequence: u64,
-    /// The request whose answer is the latest that the owner took in, or zero.
+    /// The sequence number of the request whose reply was the latest that the owner processed, or zero.
     pub seen: u64,
-    /// What is wanted of its tasks.
+    /// The orders for the worker's tasks.
     pub wants: Wants,
-    /// Reports that the owner has made durable, to be forgotten.
+    /// The reports that the owner has stored durably and the worker can drop.
     pub settled: Vec<(TaskId, Attempt)>,
 }
 
-/// What became of a task on a worker.
+/// The state of a task on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// It runs.
+    /// The task is running.
     Running,
-    /// It ran to its end.
+    /// The task ran to completion.
     Done,
-    /// It failed.
+    /// The task failed.
     Failed,
-    /// It was stopped, or never started, and does not run any more.
+    /// The task was stopped or never started, and is not running.
     Stopped,
 }
 
-/// A task as a worker reports it.
+/// A worker's report of a task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskReport {
     /// The task.
     pub task: TaskId,
-    /// The run.
+    /// The run of the task.
     pub attempt: Attempt,
-    /// What became of it.
+    /// The state of the task.
     pub phase: Phase,
-    /// What kind of work it is.
+    /// The kind of work.
     pub kind: Kind,
-    /// The class it belongs to.
+    /// The class of the task.
     pub class: TaskClass,
-    /// What it takes.
+    /// The resources reserved for the task.
     pub size: Resources,
     /// The saved progress, in milliseconds of work.
     pub checkpoint_ms: u64,
@@ -135,39 +136,39 @@
     pub progress_ms: u64,
 }
 
-/// A measurement of what ran together on a worker, possibly old.
+/// A measurement of a task and the tasks that ran beside it, possibly outdated.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UsageSample {
-    /// When it was taken, on the worker's clock, in milliseconds.
+    /// The time of the measurement on the worker's clock, in milliseconds.
     pub taken_ms: u64,
-    /// The task it is about.
+    /// The measured task.
     pub task: TaskId,
-    /// Its class.
+    /// The class of the task.
     pub class: TaskClass,
-    /// What it really took.
+    /// The resources that the task actually used.
     pub used: Resources,
-    /// How much slower it ran than alone: 1.0 is undisturbed.
+    /// The slowdown compared with running alone; 1.0 means undisturbed.
     pub slowdown: f64,
-    /// The classes of the other tasks that ran beside it at that moment.
+    /// The classes of the other tasks that ran on the worker at that time.
     pub beside: Vec<TaskClass>,
 }
 
-/// A worker's answer.
+/// A worker's reply to a sync request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SyncReply {
-    /// The worker's run, different after each restart.
+    /// The boot number of the worker, which changes with each restart.
     pub boot: u64,
     /// The worker's clock, in milliseconds.
     pub clock_ms: u64,
-    /// The highest reign the worker has seen for this shard.
+    /// The highest epoch that the worker has seen for this shard.
     pub epoch: Epoch,
-    /// The request this answers.
+    /// The sequence number of the request that this reply answers.
     pub sequence: u64,
-    /// The list of orders it goes by, or zero.
+    /// The number of the list of orders that the worker follows, or zero.
     pub list: u64,
-    /// The tasks it runs for this shard and those whose end isn't settled yet. `None` if
-    /// that is what the answer said that the owner has seen.
+    /// The tasks that the worker runs for this shard and those whose end is not settled yet.
+    /// `None` if they are unchanged since the reply that the owner processed last.
     pub tasks: Option<Vec<TaskReport>>,
-    /// Measurements that are due.
+    /// The measurements that are due.
     pub usage: Vec<UsageSample>,
 }
