--- a/crates/kitetrail-core/benches/placement.rs
+++ b/crates/kitetrail-core/benches/placement.rs
@@ -1,4 +1,5 @@
-//! The time of task starts, from submission to cancel, and of one usage report, at shards of several sizes.
+//! Measures the time of task starts, from submission to cancellation, at several shard sizes, and of one
+//! usage report.
 
 use std::{hint::black_box, net::SocketAddr, time::Duration};
 
@@ -14,15 +15,16 @@
 };
 
 const WORKERS: [usize; 3] = [8, 65, 1_200];
-/// How many tasks run on each worker before the measurement, as at the size to design for.
-const RUNNING_PER_WORKER: u32 = 11;
-const STARTS: u32 = 32;
+/// The number of tasks that run on each worker before the measurement, as in the design target.
+const TASKS_PER_WORKER: u32 = 11;
+/// The number of tasks started in one iteration.
+const TASKS_PER_ITERATION: u32 = 32;
 
 fn name<T: std::str::FromStr>(text: &str) -> T {
     text.parse().unwrap_or_else(|_| panic!("{text} must be a name"))
 }
 
-fn info(number: usize) -> WorkerInfo {
+fn worker_info(number: usize) -> WorkerInfo {
     let address: SocketAddr = ([127, 0, 0, 1], 1_000).into();
     WorkerInfo {
         id: name(&format!("worker-{number}")),
@@ -46,38 +48,38 @@
         .build()
 }
 
-/// A shard that owns so many workers.
-struct Owned<P> {
+/// An owned shard that is driven without input or output.
+struct DrivenShard<P> {
     shard: Shard<P>,
     now: Time,
     version: Version,
     submitted: u64,
 }
 
-impl<P: Placer> Owned<P> {
+impl<P: Placer> DrivenShard<P> {
     fn new(workers: usize, placer: P) -> Self {
         let settings = ShardSettings::default();
-        let (id, me) = (name("zone-0:0"), name("entry-0"));
-        let shard = Shard::new(id, me, 1, settings, ReliefSettings::default(), placer);
-        let mut owned =
+        let (id, local_id) = (name("zone-0:0"), name("entry-0"));
+        let shard = Shard::new(id, local_id, 1, settings, ReliefSettings::default(), placer);
+        let mut driven =
             Self { shard, now: Time::from_ms(1_000), version: Version(0), submitted: 0 };
-        let infos = (0..workers).map(info).collect();
-        owned.drive(Event::FleetSeen(infos));
-        owned.drive(Event::Ranked(Some(0)));
+        let infos = (0..workers).map(worker_info).collect();
+        driven.drive(Event::FleetSeen(infos));
+        driven.drive(Event::Ranked(Some(0)));
         for _ in 0..40 {
-            owned.pass(250);
+            driven.advance(250);
         }
         for number in 0..4 {
-            let tasks = workers as u32 * RUNNING_PER_WORKER / 4;
-            owned.submit(spec(&format!("running-{number}"), tasks));
+            let tasks = workers as u32 * TASKS_PER_WORKER / 4;
+            driven.submit(spec(&format!("running-{number}"), tasks));
             for _ in 0..60 {
-                owned.pass(250);
+                driven.advance(250);
             }
         }
-        owned
+        driven
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now = self.now + Duration::from_millis(ms);
         self.drive(Event::Tick);
     }
@@ -98,7 +100,7 @@
         self.drive(Event::InboxRead(vec![(key, Version(1), item)]));
     }
 
-    /// Hands an event in and answers all that the shard asks.
+    /// Passes an event to the shard, and answers all actions that follow.
     fn drive(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
@@ -151,18 +153,18 @@
     }
 }
 
-fn starts<P: Placer + Clone + Default>(criterion: &mut Criterion, label: &str) {
-    let mut group = criterion.benchmark_group(format!("{STARTS}_task_starts_{label}"));
+fn bench_task_starts<P: Placer + Clone + Default>(criterion: &mut Criterion, label: &str) {
+    let mut group = criterion.benchmark_group(format!("{TASKS_PER_ITERATION}_task_starts_{label}"));
     group.sample_size(10);
     for workers in WORKERS {
         let id = BenchmarkId::from_parameter(workers);
-        let mut owned = Owned::new(workers, P::default());
+        let mut driven = DrivenShard::new(workers, P::default());
         group.bench_function(id, |bencher| {
             bencher.iter(|| {
-                let name = format!("new-{}", owned.submitted);
-                owned.submit(spec(&name, STARTS));
-                owned.cancel(&name);
-                owned.pass(250);
+                let name = format!("new-{}", driven.submitted);
+                driven.submit(spec(&name, TASKS_PER_ITERATION));
+                driven.cancel(&name);
+                driven.advance(250);
             });
         });
     }
@@ -170,8 +172,8 @@
 }
 
 fn task_starts(criterion: &mut Criterion) {
-    starts::<FirstFit>(criterion, "first_fit");
-    starts::<InterferenceAware>(criterion, "interference_aware");
+    bench_task_starts::<FirstFit>(criterion, "first_fit");
+    bench_task_starts::<InterferenceAware>(criterion, "interference_aware");
 }
 
 fn usage_report(criterion: &mut Criterion) {
--- a/crates/kitetrail-core/benches/routing.rs
+++ b/crates/kitetrail-core/benches/routing.rs
@@ -1,4 +1,4 @@
-//! The time of one routing decision, at fleets of several sizes.
+//! Measures the time of one routing decision at several fleet sizes.
 
 use std::{hint::black_box, time::Duration};
 
@@ -9,38 +9,39 @@
     shard::{EndpointSet, PlacedEndpoint},
 };
 
-const FLEETS: [usize; 3] = [65, 300, 1_200];
-const ZONES: usize = 4;
+/// The numbers of endpoints.
+const ENDPOINT_COUNTS: [usize; 3] = [65, 300, 1_200];
+const ZONE_COUNT: usize = 4;
 
 fn name<T: std::str::FromStr>(text: &str) -> T {
     text.parse().unwrap_or_else(|_| panic!("{text} must be a name"))
 }
 
-/// A router that knows so many endpoints, in four availability zones.
+/// Returns a router with a number of endpoints, spread over four availability zones.
 fn router(endpoints: usize) -> Router<PowerOfTwo> {
     let settings = RouterSettings::builder().zone(name::<ZoneId>("zone-0")).build();
     let mut router = Router::new(settings, PowerOfTwo, 1);
     let placed = (0..endpoints).map(|number| PlacedEndpoint {
         service: name("validate"),
         worker: name(&format!("worker-{number}")),
-        zone: name(&format!("zone-{}", number % ZONES)),
+        zone: name(&format!("zone-{}", number % ZONE_COUNT)),
         address: ([127, 0, (number / 250) as u8, (number % 250) as u8], 80).into(),
         leaving: false,
     });
-    let set = EndpointSet {
+    let endpoint_set = EndpointSet {
         shard: name("zone-0:0"),
         epoch: Epoch(1),
         sequence: 1,
         endpoints: placed.collect(),
     };
-    router.set_endpoints(set, Time::from_ms(1));
+    router.set_endpoints(endpoint_set, Time::from_ms(1));
     router
 }
 
 fn routing(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("routing_decision");
     let service: SpecName = name("validate");
-    for endpoints in FLEETS {
+    for endpoints in ENDPOINT_COUNTS {
         let mut router = router(endpoints);
         let mut number = 0;
         let id = BenchmarkId::from_parameter(endpoints);
--- a/crates/kitetrail-core/examples/owner_cost.rs
+++ b/crates/kitetrail-core/examples/owner_cost.rs
@@ -1,8 +1,8 @@
-//! What the decisions of an owner cost as its fleet grows, at the same load for each worker.
+//! Measures the cost of an owner's decisions as its fleet grows, at a constant load for each worker.
 //!
-//! A fleet on virtual time is played for some seconds; only the time that the scheduler itself takes is
-//! counted. The load has the shape of the largest one that we know of: watchers that reserve nearly
-//! all processors and serve users, batch work that fills what they leave idle, and short checks.
+//! A fleet is simulated on virtual time for some seconds, and only the time spent in the scheduler is
+//! counted. The load is modelled on the largest known one: watchers that reserve nearly all processors
+//! and serve users, batch work that uses their idle capacity, and short checks.
 
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
@@ -17,40 +17,42 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Sizes of fleets: a small one, a grown one, the largest that we know of, and twice that.
+/// The fleet sizes, in workers: a small one, a medium one, the largest known one, and twice that.
 const WORKERS: [u32; 4] = [66, 490, 890, 1_780];
-/// Rates of the load, a second and worker.
-const CHECKS_PER_S: f64 = 13.0 / 890.0;
-const BUILDS_PER_S: f64 = 14.9 / 890.0;
-/// Watchers that run all the time, for each worker.
-const WATCHERS: f64 = 173.0 / 890.0;
-/// How many times as many builds come when there is to be a backlog.
-const BACKLOG: f64 = 2.6;
-/// Played before anything is counted, so that the fleet is full.
+/// The rate of check jobs, for each worker and second.
+const CHECKS_PER_WORKER_S: f64 = 13.0 / 890.0;
+/// The rate of build jobs, for each worker and second.
+const BUILDS_PER_WORKER_S: f64 = 14.9 / 890.0;
+/// The number of watchers that run continuously, for each worker.
+const WATCHERS_PER_WORKER: f64 = 173.0 / 890.0;
+/// The factor by which the rate of builds increases to cause a backlog.
+const BACKLOG_BUILD_FACTOR: f64 = 2.6;
+/// The simulated time before the measurement, during which the fleet fills up, in milliseconds.
 const WARM_UP_MS: u64 = 6_000;
-/// Played while costs are counted.
-const COUNTED_MS: u64 = 6_000;
-/// New jobs are handed in so often.
-const HAND_IN_EVERY_MS: u64 = 50;
-/// How many images build, and how many watch.
-const BUILD_IMAGES: u32 = 30;
-const WATCH_IMAGES: u32 = 16;
+/// The simulated time of the measurement, in milliseconds.
+const MEASURED_MS: u64 = 6_000;
+/// The interval at which new jobs are submitted, in milliseconds.
+const SUBMIT_INTERVAL_MS: u64 = 50;
+/// The number of images of builds.
+const BUILD_IMAGE_COUNT: u32 = 30;
+/// The number of images of watchers.
+const WATCHER_IMAGE_COUNT: u32 = 16;
 
 fn main() {
-    for (name, builds) in [("calm", 1.0), ("backlog", BACKLOG)] {
+    for (name, build_factor) in [("calm", 1.0), ("backlog", BACKLOG_BUILD_FACTOR)] {
         println!("{name}:");
         for workers in WORKERS {
-            let mut load = Load::new(workers, builds);
+            let mut load = Load::new(workers, build_factor);
             load.run(WARM_UP_MS);
-            let before = Counts::of(&load.world);
-            load.run(COUNTED_MS);
-            report(workers, &before, &Counts::of(&load.world));
+            let before = Counters::of(&load.world);
+            load.run(MEASURED_MS);
+            report(workers, &before, &Counters::of(&load.world));
         }
     }
 }
 
-/// What was counted so far.
-struct Counts {
+/// The values of the counters at one point of the simulation.
+struct Counters {
     starts: usize,
     events: u64,
     spent: Duration,
@@ -59,14 +61,14 @@
     stale_answers: u64,
 }
 
-impl Counts {
+impl Counters {
     fn of(world: &World) -> Self {
         let &World { events, spent, allocations, holds, stale_answers, .. } = world;
         Self { starts: world.starts.len(), events, spent, allocations, holds, stale_answers }
     }
 }
 
-fn report(workers: u32, before: &Counts, after: &Counts) {
+fn report(workers: u32, before: &Counters, after: &Counters) {
     let starts = (after.starts - before.starts) as f64;
     let events = (after.events - before.events) as f64;
     let spent_us = (after.spent - before.spent).as_secs_f64() * 1e6;
@@ -76,26 +78,26 @@
         spent_us / starts,
         spent_us / events,
         (after.allocations - before.allocations) as f64 / starts,
-        starts * 1_000.0 / COUNTED_MS as f64,
+        starts * 1_000.0 / MEASURED_MS as f64,
         (after.holds - before.holds) as f64 / starts,
         (after.stale_answers - before.stale_answers) as f64 / starts,
-        spent_us / 1_000.0 / COUNTED_MS as f64,
+        spent_us / 1_000.0 / MEASURED_MS as f64,
     );
 }
 
-/// A fleet and the jobs that come.
+/// A simulated fleet and the generator of its jobs.
 struct Load {
     world: World,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     workers: f64,
-    builds: f64,
+    build_factor: f64,
     next_job: u64,
-    owed_checks: f64,
-    owed_builds: f64,
+    due_checks: f64,
+    due_builds: f64,
 }
 
 impl Load {
-    fn new(workers: u32, builds: f64) -> Self {
+    fn new(workers: u32, build_factor: f64) -> Self {
         let mut world = World::with_workers((0..workers).map(worker));
         world.tail_ms = |worker| {
             let fills = worker.running.values().filter(|run| !run.serves);
@@ -104,77 +106,77 @@
         };
         let mut load = Self {
             world,
-            random: ChaCha8Rng::seed_from_u64(1),
+            rng: ChaCha8Rng::seed_from_u64(1),
             workers: f64::from(workers),
-            builds,
+            build_factor,
             next_job: 1,
-            owed_checks: 0.0,
-            owed_builds: 0.0,
+            due_checks: 0.0,
+            due_builds: 0.0,
         };
-        for _ in 0..(load.workers * WATCHERS) as u32 {
+        for _ in 0..(load.workers * WATCHERS_PER_WORKER) as u32 {
             let spec = load.watcher();
-            load.hand_in(vec![spec]);
+            load.submit_job(vec![spec]);
             load.world.run_ms(10);
         }
         load
     }
 
     fn run(&mut self, ms: u64) {
-        for _ in 0..ms / HAND_IN_EVERY_MS {
-            let seconds = HAND_IN_EVERY_MS as f64 / 1_000.0;
-            self.owed_checks += CHECKS_PER_S * self.workers * seconds;
-            self.owed_builds += BUILDS_PER_S * self.workers * seconds * self.builds;
-            while self.owed_checks >= 1.0 {
-                self.owed_checks -= 1.0;
+        for _ in 0..ms / SUBMIT_INTERVAL_MS {
+            let seconds = SUBMIT_INTERVAL_MS as f64 / 1_000.0;
+            self.due_checks += CHECKS_PER_WORKER_S * self.workers * seconds;
+            self.due_builds += BUILDS_PER_WORKER_S * self.workers * seconds * self.build_factor;
+            while self.due_checks >= 1.0 {
+                self.due_checks -= 1.0;
                 let first = self.check();
-                self.hand_in(vec![first]);
+                self.submit_job(vec![first]);
             }
-            while self.owed_builds >= 1.0 {
-                self.owed_builds -= 1.0;
+            while self.due_builds >= 1.0 {
+                self.due_builds -= 1.0;
                 let first = self.build();
                 let second = StepSpec { depends_on: vec![0], ..self.build() };
-                self.hand_in(vec![first, second]);
+                self.submit_job(vec![first, second]);
             }
-            self.world.run_ms(HAND_IN_EVERY_MS);
+            self.world.run_ms(SUBMIT_INTERVAL_MS);
         }
     }
 
-    fn hand_in(&mut self, steps: Vec<StepSpec>) {
+    fn submit_job(&mut self, steps: Vec<StepSpec>) {
         self.next_job += 1;
         self.world.submit(self.next_job, job(steps));
     }
 
     fn check(&mut self) -> StepSpec {
-        let cpu_millis = self.random.random_range(3_000..7_500);
+        let cpu_millis = self.rng.random_range(3_000..7_500);
         StepSpec {
-            count: self.random.random_range(3..27),
+            count: self.rng.random_range(3..27),
             size: Resources::new(cpu_millis, 8_000, 0),
-            estimate_ms: self.random.random_range(400..1_200),
+            estimate_ms: self.rng.random_range(400..1_200),
             ..StepSpec::default()
         }
     }
 
     fn build(&mut self) -> StepSpec {
-        let cpu_millis = self.random.random_range(1_200..2_400);
+        let cpu_millis = self.rng.random_range(1_200..2_400);
         StepSpec {
-            count: self.random.random_range(10..70),
+            count: self.rng.random_range(10..70),
             size: Resources::new(cpu_millis, 3_200, 0),
-            estimate_ms: self.random.random_range(1_400..4_000),
+            estimate_ms: self.rng.random_range(1_400..4_000),
             keeps_progress: true,
             fills: true,
-            image: Some(format!("build-{}", self.random.random_range(0..BUILD_IMAGES))),
+            image: Some(format!("build-{}", self.rng.random_range(0..BUILD_IMAGE_COUNT))),
             ..StepSpec::default()
         }
     }
 
     fn watcher(&mut self) -> StepSpec {
-        let cpu_millis = self.random.random_range(2_400..4_000);
+        let cpu_millis = self.rng.random_range(2_400..4_000);
         StepSpec {
-            count: self.random.random_range(15..34),
+            count: self.rng.random_range(15..34),
             size: Resources::new(cpu_millis, 6_400, 0),
             estimate_ms: 400,
             lasts: true,
-            image: Some(format!("watch-{}", self.random.random_range(0..WATCH_IMAGES))),
+            image: Some(format!("watch-{}", self.rng.random_range(0..WATCHER_IMAGE_COUNT))),
             tail_target_ms: Some(50),
             may_miss: Some(1),
             ..StepSpec::default()
@@ -182,10 +184,10 @@
     }
 }
 
-/// A worker of 16 cores, 20 of which share a rack.
-fn worker(no: u32) -> FakeWorker {
-    let FakeWorker { entry, .. } = FakeWorker::new(no);
-    let rack = format!("r{}", no / 20);
+/// Returns a worker with 16 cores. Each rack holds 20 workers.
+fn worker(number: u32) -> FakeWorker {
+    let FakeWorker { entry, .. } = FakeWorker::new(number);
+    let rack = format!("r{}", number / 20);
     FakeWorker::with_entry(WorkerEntry {
         capacity: Resources::new(16_000, 64_000, 0),
         labels: vec!["a".to_owned(), rack.clone()],
--- a/crates/kitetrail-core/src/worker.rs
+++ b/crates/kitetrail-core/src/worker.rs
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Wants {
-    /// The owner only requests a report.
+    /// The owner only requests a report, before it sends its first list of orders.
     Listen,
     /// The complete list of orders. The worker stops tasks of this shard that are not listed.
     Orders {
--- a/crates/kitetrail-core/tests/configuration.rs
+++ b/crates/kitetrail-core/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! P9: a box never steps back, in whatever order it learns of revisions.
+//! P9: a box never replaces a revision by an older one, in whatever order it receives them.
 
 use kitetrail_core::config::{Configuration, Revision, RevisionInForce};
 
@@ -12,15 +12,15 @@
 }
 
 #[test]
-fn revisions_are_never_stepped_back() {
+fn an_older_revision_never_replaces_a_newer_one() {
     for first in 1..=4 {
         for second in 1..=4 {
             for third in 1..=4 {
                 let mut in_force = RevisionInForce::default();
                 let mut highest = 0;
                 for number in [first, second, third] {
-                    let taken = in_force.offer(revision(number));
-                    assert_eq!(taken, number > highest, "P9: {number} after {highest}");
+                    let is_newer = in_force.offer(revision(number));
+                    assert_eq!(is_newer, number > highest, "P9: {number} after {highest}");
                     highest = highest.max(number);
                     assert_eq!(in_force.number(), highest);
                 }
--- a/crates/kitetrail-core/tests/evacuations.rs
+++ b/crates/kitetrail-core/tests/evacuations.rs
@@ -1,4 +1,5 @@
-//! Requests to evacuate availability zones: the latest version wins, in whatever order it is learned.
+//! Requests to evacuate availability zones: the latest store version wins, in whatever order changes
+//! are received.
 
 use kitetrail_core::evacuation::{EvacuationChange, Evacuations};
 
@@ -15,7 +16,7 @@
 }
 
 #[test]
-fn a_request_holds_until_it_is_withdrawn() {
+fn a_request_stays_in_force_until_it_is_withdrawn() {
     let mut evacuations = Evacuations::default();
     assert_eq!(evacuations.read(3, vec![]), []);
     assert_eq!(evacuations.follow(5, vec![request("a", 5)]), [request("a", 5)]);
@@ -35,16 +36,16 @@
 }
 
 #[test]
-fn a_list_read_anew_tells_of_requests_that_are_gone() {
+fn a_complete_read_reports_requests_that_were_removed() {
     let mut evacuations = Evacuations::default();
     evacuations.read(5, vec![request("a", 4), request("b", 5)]);
-    let changed = evacuations.read(20, vec![request("b", 5), request("c", 18)]);
-    assert_eq!(changed, [withdrawal("a", 20), request("c", 18)]);
+    let changes = evacuations.read(20, vec![request("b", 5), request("c", 18)]);
+    assert_eq!(changes, [withdrawal("a", 20), request("c", 18)]);
     assert_eq!(zones(&evacuations), ["b", "c"]);
 }
 
 #[test]
-fn what_holds_for_an_earlier_version_of_the_store_changes_nothing() {
+fn changes_at_an_earlier_store_version_are_ignored() {
     let mut evacuations = Evacuations::default();
     evacuations.read(20, vec![request("b", 15)]);
     assert_eq!(evacuations.read(10, vec![request("a", 4)]), []);
--- a/crates/kitetrail-core/tests/membership.rs
+++ b/crates/kitetrail-core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Which boxes count as up, and how shards are dealt to them.
+//! Tests which boxes are up, and how shards are distributed among them.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 use std::{collections::BTreeSet, time::Duration};
@@ -22,7 +22,7 @@
     Heartbeat { id: id(number), incarnation: 1, beat, leaving: false, revision: 0 }
 }
 
-fn view(boxes: usize, now: Time) -> Membership {
+fn membership_of(boxes: usize, now: Time) -> Membership {
     let mut membership = Membership::new(id(0), 1, 1, now);
     membership.set_listed((0..boxes).map(|n| listed(n, Liveness::Live)).collect());
     membership.merge((1..boxes).map(|n| heartbeat(n, 1)).collect(), now);
@@ -35,36 +35,36 @@
 }
 
 #[test]
-fn shards_are_dealt_evenly() {
+fn shards_are_distributed_evenly() {
     let now = Time::from_ms(1_000);
     for boxes in 1..=16 {
-        let owners = view(boxes, now).owners(&shards(), now);
-        let share = 16usize.div_ceil(boxes);
+        let owners = membership_of(boxes, now).owners(&shards(), now);
+        let max_owned = 16usize.div_ceil(boxes);
         for number in 0..boxes {
             let owned = owners.values().filter(|ranked| ranked[0] == id(number)).count();
-            assert!(owned <= share, "entry-{number} of {boxes} has {owned} shards");
+            assert!(owned <= max_owned, "entry-{number} of {boxes} has {owned} shards");
         }
     }
 }
 
 #[test]
-fn a_box_whose_heartbeat_stops_is_given_up() {
+fn a_box_whose_heartbeat_stops_is_no_longer_up() {
     let now = Time::from_ms(1_000);
-    let mut membership = view(3, now);
-    let later = now + Membership::SUSPECT_AFTER - Duration::from_millis(1);
-    assert!(membership.is_up(&id(1), later));
-    membership.merge(vec![heartbeat(1, 2)], later);
-    let after = now + Membership::SUSPECT_AFTER;
-    assert!(membership.is_up(&id(1), after), "its heartbeat grew");
-    assert!(!membership.is_up(&id(2), after), "its heartbeat did not");
-    membership.merge(vec![heartbeat(2, 1)], after);
-    assert!(!membership.is_up(&id(2), after), "an old heartbeat passed on says nothing new");
+    let mut membership = membership_of(3, now);
+    let before_timeout = now + Membership::SUSPECT_AFTER - Duration::from_millis(1);
+    assert!(membership.is_up(&id(1), before_timeout));
+    membership.merge(vec![heartbeat(1, 2)], before_timeout);
+    let at_timeout = now + Membership::SUSPECT_AFTER;
+    assert!(membership.is_up(&id(1), at_timeout), "its heartbeat advanced");
+    assert!(!membership.is_up(&id(2), at_timeout), "its heartbeat did not advance");
+    membership.merge(vec![heartbeat(2, 1)], at_timeout);
+    assert!(!membership.is_up(&id(2), at_timeout), "a repeated heartbeat is not an advance");
 }
 
 #[test]
-fn a_box_that_leaves_owns_nothing() {
+fn a_leaving_or_dead_box_owns_no_shards() {
     let now = Time::from_ms(1_000);
-    let mut membership = view(3, now);
+    let mut membership = membership_of(3, now);
     membership.merge(vec![Heartbeat { leaving: true, ..heartbeat(1, 2) }], now);
     let boxes =
         vec![listed(0, Liveness::Live), listed(1, Liveness::Live), listed(2, Liveness::Dead)];
