--- a/crates/kitetrail-core/src/fleet.rs
+++ b/crates/kitetrail-core/src/fleet.rs
@@ -62,8 +62,8 @@
 /// The whole box list.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// The workers, ordered by name.
+    /// The workers.
     pub workers: Vec<WorkerInfo>,
-    /// Kitetrail's own boxes, ordered by name.
+    /// The boxes of kitetrail itself.
     pub boxes: Vec<BoxInfo>,
 }
--- a/crates/kitetrail-core/src/lib.rs
+++ b/crates/kitetrail-core/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Each state machine takes an event and the current time and returns actions. The crate
 //! opens no socket, reads no clock, never sleeps and uses no ambient randomness, so any
-//! program can drive it: the daemon, a test on virtual time or an external benchmark.
+//! program can drive it: the daemon, a test on virtual time or an external test bench.
 
 pub mod audit;
 pub mod calls;
