--- a/crates/kitetrail-core/src/placement/first_fit.rs
+++ b/crates/kitetrail-core/src/placement/first_fit.rs
@@ -1,9 +1,9 @@
-//! The baseline: the first worker with room, whatever runs there.
+//! The baseline placer, which ignores interference.
 
 use super::{Band, Candidate, Choice, Placer, PolicyTable};
 use crate::{TaskClass, task::TaskRow, worker::UsageSample};
 
-/// Takes the first worker with room and learns nothing.
+/// Chooses the first worker with enough free resources and learns nothing.
 #[derive(Debug, Clone, Default)]
 pub struct FirstFit {
     policy: PolicyTable,
--- a/crates/kitetrail-core/src/placement/interference.rs
+++ b/crates/kitetrail-core/src/placement/interference.rs
@@ -1,31 +1,32 @@
-//! How much tasks of one class slow down tasks of another, learned from late reports.
+//! A model of how much tasks of one class slow down tasks of another, learned from usage
+//! samples.
 
 use std::collections::BTreeMap;
 
 use crate::{Resources, TaskClass, worker::UsageSample};
 
-/// The error a first sample is expected to have.
+/// The typical error of an estimate without samples.
 const PRIOR_ERROR: f64 = 0.5;
-/// The slowdown a pair is expected to cause before anything was measured.
+/// The effect of a pair of classes without samples.
 const PRIOR_EFFECT: f64 = 0.05;
-/// The part of an error that is always learned, so that the model follows changes.
+/// The smallest learning rate. It stays above zero so that the model follows changes.
 const MIN_LEARNING_RATE: f64 = 0.2;
-/// How many samples make an estimate one to rely on.
+/// The number of samples from which an estimate counts as reliable.
 const RELIABLE_SAMPLES: u32 = 4;
 
-/// How loaded a worker is, in coarse steps.
+/// The load of a worker, in coarse steps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Band {
-    /// Under half of its processors are given.
+    /// Less than half of the processors are granted.
     Low,
-    /// Under four fifths are.
+    /// Less than four fifths of the processors are granted.
     Middle,
-    /// More are.
+    /// Four fifths of the processors or more are granted.
     High,
 }
 
 impl Band {
-    /// The band of a worker of which `used` is given.
+    /// Returns the band of a worker with `used` granted.
     pub fn of(used: &Resources, capacity: &Resources) -> Self {
         let (used, capacity) = (u64::from(used.cpu_millis.0), u64::from(capacity.cpu_millis.0));
         match used {
@@ -36,31 +37,31 @@
     }
 }
 
-/// What is known of one pair of classes in one band.
+/// The estimate for one pair of classes in one band.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
-    /// The slowdown one task of the second class adds to one of the first.
+    /// The slowdown that one task of the second class adds to a task of the first.
     pub effect: f64,
-    /// The typical error of that figure.
+    /// The typical error of `effect`.
     pub error: f64,
-    /// How many samples it rests on.
+    /// The number of samples behind the estimate.
     pub samples: u32,
 }
 
 impl Estimate {
     const PRIOR: Estimate = Estimate { effect: PRIOR_EFFECT, error: PRIOR_ERROR, samples: 0 };
 
-    /// The uncertainty of the effect: it shrinks as samples come in.
+    /// Returns the uncertainty of the effect, which decreases with the number of samples.
     pub fn uncertainty(&self) -> f64 {
         self.error / f64::from(self.samples + 1).sqrt()
     }
 
-    /// Whether it rests on enough samples to be relied on.
+    /// Returns whether the estimate has enough samples.
     pub fn is_reliable(&self) -> bool {
         self.samples >= RELIABLE_SAMPLES
     }
 
-    /// Takes in this pair's part of an error.
+    /// Updates the estimate by this pair's part of a prediction error.
     fn learn(&mut self, part: f64) {
         self.samples = self.samples.saturating_add(1);
         let rate = (1.0 / f64::from(self.samples)).max(MIN_LEARNING_RATE);
@@ -69,33 +70,33 @@
     }
 }
 
-/// The estimates of all pairs.
+/// The estimates of all pairs of classes.
 ///
-/// A sample is credited to what shared the worker when it was taken: it carries that
-/// list itself, so it does not matter how late it arrives.
+/// A sample is attributed to the tasks that shared the worker when it was taken. It holds
+/// the list of their classes, so it may arrive late.
 #[derive(Debug, Clone, Default)]
 pub struct InterferenceModel {
     pairs: BTreeMap<TaskClass, BTreeMap<TaskClass, [Option<Estimate>; 3]>>,
 }
 
 impl InterferenceModel {
-    /// What is known of the effect of `beside` on `victim`.
+    /// Returns the estimated effect of `beside` on `victim`.
     pub fn estimate(&self, victim: &TaskClass, beside: &TaskClass, band: Band) -> Estimate {
-        let known = self.pairs.get(victim).and_then(|of| of.get(beside));
+        let known = self.pairs.get(victim).and_then(|effects| effects.get(beside));
         known.and_then(|bands| bands[band as usize]).unwrap_or(Estimate::PRIOR)
     }
 
-    /// The slowdown expected of `victim` beside the given tasks: 1.0 is none.
+    /// Returns the expected slowdown factor of `victim` beside the given tasks. 1.0 means none.
     pub fn expected(&self, victim: &TaskClass, beside: &[TaskClass], band: Band) -> f64 {
         let effects = beside.iter().map(|other| self.estimate(victim, other, band).effect);
         1.0 + effects.sum::<f64>()
     }
 
-    /// Learns from a sample.
+    /// Updates the estimates from a sample.
     ///
-    /// Its error is divided among the classes that ran beside in proportion to how many
-    /// tasks each had (normalised least mean squares), so that over samples with other
-    /// neighbours each class ends up with its own effect.
+    /// The prediction error is divided among the neighbouring classes in proportion to their
+    /// numbers of tasks (normalised least mean squares). Over samples with different
+    /// neighbours, each class converges to its own effect.
     pub fn observe(&mut self, sample: &UsageSample, band: Band) {
         if sample.beside.is_empty() || !sample.slowdown.is_finite() {
             return;
@@ -106,9 +107,9 @@
             *counts.entry(beside).or_default() += 1.0;
         }
         let norm: f64 = counts.values().map(|count| count * count).sum();
-        let of_victim = self.pairs.entry(sample.class.clone()).or_default();
+        let victim_pairs = self.pairs.entry(sample.class.clone()).or_default();
         for (beside, count) in counts {
-            let bands = of_victim.entry(beside.clone()).or_default();
+            let bands = victim_pairs.entry(beside.clone()).or_default();
             let estimate = bands[band as usize].get_or_insert(Estimate::PRIOR);
             estimate.learn(error * count / norm);
         }
--- a/crates/kitetrail-core/src/placement/interference_aware.rs
+++ b/crates/kitetrail-core/src/placement/interference_aware.rs
@@ -1,4 +1,4 @@
-//! The placer that weighs expected harm and its uncertainty.
+//! The placer that minimises expected interference and its uncertainty.
 
 use std::cmp::Ordering;
 
@@ -9,18 +9,18 @@
     worker::UsageSample,
 };
 
-/// How much a unit of uncertainty counts against a unit of expected harm.
+/// The weight of uncertainty relative to expected slowdown.
 const UNCERTAINTY_WEIGHT: f64 = 0.3;
-/// The rank at which the harm done to a class counts in full.
-const FULL_RANK: f64 = 100.0;
+/// The rank at which the slowdown of a class has weight 1.
+const FULL_WEIGHT_RANK: f64 = 100.0;
 /// The cost of a task of the same spec on the same worker.
 const SAME_WORKER_COST: f64 = 1.0;
 /// The cost of a task of the same spec in the same rack.
 const SAME_RACK_COST: f64 = 0.1;
-/// How much a full worker is preferred over an empty one for batch work.
+/// The weight by which a full worker is preferred over an empty one for batch work.
 const PACKING_WEIGHT: f64 = 0.05;
 
-/// Chooses the worker where a task is expected to do and suffer the least harm.
+/// Chooses the worker where a task is expected to cause and suffer the least slowdown.
 #[derive(Debug, Clone, Default)]
 pub struct InterferenceAware {
     model: InterferenceModel,
@@ -28,12 +28,12 @@
 }
 
 impl InterferenceAware {
-    /// What has been learned.
+    /// Returns the learned model.
     pub fn model(&self) -> &InterferenceModel {
         &self.model
     }
 
-    /// The cost of a task on a candidate, or `None` if policy keeps it away.
+    /// Returns the cost of a task on a candidate, or `None` if the policy excludes the candidate.
     fn cost(&self, task: &TaskRow, candidate: &Candidate<'_>) -> Option<f64> {
         let class = &task.spec.class;
         if candidate.classes.keys().any(|other| !self.policy.may_share(class, other)) {
@@ -41,11 +41,9 @@
         }
         let used = candidate.capacity.checked_sub(&candidate.free).unwrap_or_default();
         let band = Band::of(&used.saturating_add(&task.spec.size), &candidate.capacity);
-        if candidate
-            .classes
-            .iter()
-            .any(|(victim, count)| self.would_press(task, victim, count.kind, candidate, band))
-        {
+        if candidate.classes.iter().any(|(victim, count)| {
+            self.would_exceed_slowdown(task, victim, count.kind, candidate, band)
+        }) {
             return None;
         }
         let harm = candidate.classes.iter().map(|(other, count)| {
@@ -53,7 +51,7 @@
             let done = self.harm(count.kind, other, class, band);
             (suffered + done) * f64::from(count.tasks)
         });
-        // Replicas keep apart from each other; parts of a job have no reason to.
+        // Replicas of a service are spread over workers and racks; tasks of a job need not be.
         let spread = match task.spec.kind {
             Kind::Service => {
                 f64::from(candidate.siblings_on_worker) * SAME_WORKER_COST
@@ -64,9 +62,9 @@
         Some(harm.sum::<f64>() + spread - PACKING_WEIGHT * load(candidate))
     }
 
-    /// Whether a task that matters less is known to push a class on a worker beyond the
-    /// slowdown that policy lets it suffer. It had better wait than be thrown out again.
-    fn would_press(
+    /// Returns whether a task of lower rank is known to push a class on a worker beyond its
+    /// allowed slowdown. Such a task waits, since it would soon be evicted again.
+    fn would_exceed_slowdown(
         &self,
         task: &TaskRow,
         victim: &TaskClass,
@@ -87,17 +85,17 @@
         1.0 + effects.sum::<f64>() + new.effect > rule.max_slowdown
     }
 
-    /// The harm that a task of class `beside` is expected to do to one of class `victim`:
-    /// its slowdown, weighed by how much policy says the victim matters.
+    /// Returns the harm that a task of class `beside` is expected to do to one of class
+    /// `victim`: the slowdown, weighted by the victim's rank in the policy.
     fn harm(&self, kind: Kind, victim: &TaskClass, beside: &TaskClass, band: Band) -> f64 {
         let estimate = self.model.estimate(victim, beside, band);
-        // What is not known counts against neighbours of services alone: batch work is
-        // where it may be found out.
+        // Uncertainty counts only against neighbours of services, so that unknown pairs are
+        // measured beside batch work.
         let (weight, risk) = match kind {
             Kind::Service => (self.policy.tail_weight, UNCERTAINTY_WEIGHT * estimate.uncertainty()),
             Kind::Job | Kind::Watcher => (1.0 - self.policy.tail_weight, 0.0),
         };
-        let importance = f64::from(self.policy.rule(victim, kind).rank) / FULL_RANK;
+        let importance = f64::from(self.policy.rule(victim, kind).rank) / FULL_WEIGHT_RANK;
         weight * importance * (estimate.effect + risk)
     }
 }
@@ -130,7 +128,7 @@
     }
 }
 
-/// The part of a worker's processors that is given, from 0.0 to 1.0.
+/// Returns the share of a worker's processors that is granted, from 0.0 to 1.0.
 fn load(candidate: &Candidate<'_>) -> f64 {
     let capacity = f64::from(candidate.capacity.cpu_millis.0.max(1));
     1.0 - f64::from(candidate.free.cpu_millis.0) / capacity
--- a/crates/kitetrail-core/src/placement/mod.rs
+++ b/crates/kitetrail-core/src/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Which worker takes a task, and what relieves a worker under pressure.
+//! The choice of a worker for a task, and the relief of workers whose services are too slow.
 
 mod first_fit;
 mod interference;
@@ -10,7 +10,7 @@
 pub use interference::{Band, Estimate, InterferenceModel};
 pub use interference_aware::InterferenceAware;
 pub use policy_table::{ClassRule, PolicyTable, Sacrifice};
-pub use relief::{Relief, ReliefSettings, Resident, Step};
+pub use relief::{ReliefSettings, ReliefState, ReliefStep, Resident};
 
 use std::collections::BTreeMap;
 
@@ -20,57 +20,57 @@
     worker::UsageSample,
 };
 
-/// A worker that could take a task.
+/// A worker that has enough free resources for a task.
 #[derive(Debug, Clone)]
 pub struct Candidate<'a> {
     /// The worker.
     pub worker: &'a WorkerId,
-    /// What it has.
+    /// The capacity of the worker.
     pub capacity: Resources,
-    /// What is still free.
+    /// The resources that are not granted.
     pub free: Resources,
-    /// The classes that run on it.
+    /// The number of tasks of each class on the worker.
     pub classes: &'a BTreeMap<TaskClass, ClassCount>,
-    /// How many tasks of the same spec are on the worker.
+    /// The number of tasks of the same spec on the worker.
     pub siblings_on_worker: u32,
-    /// How many tasks of the same spec are in the worker's rack.
+    /// The number of tasks of the same spec in the worker's rack.
     pub siblings_in_rack: u32,
 }
 
-/// How many tasks of a class run on a worker.
+/// The number of tasks of a class on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClassCount {
-    /// Their kind.
+    /// The kind of the tasks.
     pub kind: Kind,
-    /// How many there are.
+    /// The number of tasks.
     pub tasks: u32,
 }
 
 /// A worker chosen among candidates.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Choice {
-    /// The position among the candidates.
+    /// The index among the candidates.
     pub index: usize,
-    /// Why, for the log.
+    /// The reason, for the log.
     pub reason: String,
 }
 
-/// A way to choose workers.
+/// A strategy for choosing workers.
 ///
-/// Candidates already have enough room; a placer only weighs them.
+/// All candidates have enough free resources; a placer only ranks them.
 pub trait Placer {
-    /// The best candidate for a task, or `None` if it should rather wait.
+    /// Returns the best candidate for a task, or `None` if the task should wait.
     fn choose(&self, task: &TaskRow, candidates: &[Candidate<'_>]) -> Option<Choice>;
 
-    /// Learns from a measurement taken at the given load.
+    /// Learns from a sample that was taken at the given load.
     fn observe(&mut self, sample: &UsageSample, band: Band);
 
-    /// The slowdown that the given class is expected to cause another at a load.
+    /// Returns the slowdown that `beside` is expected to cause to `victim` at the given load.
     fn blame(&self, victim: &TaskClass, beside: &TaskClass, band: Band) -> f64;
 
-    /// Follows a change of policy.
+    /// Replaces the policy.
     fn set_policy(&mut self, policy: PolicyTable);
 
-    /// The policy in force.
+    /// Returns the policy in force.
     fn policy(&self) -> &PolicyTable;
 }
--- a/crates/kitetrail-core/src/placement/policy_table.rs
+++ b/crates/kitetrail-core/src/placement/policy_table.rs
@@ -1,4 +1,4 @@
-//! What a policy answered, as plain data.
+//! The results of evaluating a policy.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,31 +6,32 @@
 
 use crate::{Resources, TaskClass, TeamId, task::Kind};
 
-/// What may be done to a class under pressure.
+/// What may be done to the tasks of a class when services on their worker are too slow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Sacrifice {
     /// Nothing.
     Never,
-    /// It may be slowed down.
+    /// The tasks may be slowed down.
     Throttle,
-    /// It may be slowed down, and stopped to resume elsewhere.
+    /// The tasks may be slowed down, and stopped to resume elsewhere.
     Evict,
 }
 
-/// What a policy says of one class.
+/// The rule of a policy for one class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassRule {
-    /// How much the class matters. Higher goes first.
+    /// The importance of the class. Higher ranks go first.
     pub rank: u8,
-    /// What may be done to it.
+    /// What may be done to tasks of the class for classes of higher rank.
     pub sacrifice: Sacrifice,
-    /// The slowdown it may suffer before others are relieved for it: 1.0 is none.
+    /// The slowdown factor above which tasks of lower rank are throttled or evicted for the
+    /// class. 1.0 means no slowdown.
     pub max_slowdown: f64,
 }
 
 impl ClassRule {
-    /// The rule of a class that no policy speaks of.
+    /// Returns the rule of a class that the policy does not define.
     pub fn default_of(kind: Kind) -> Self {
         match kind {
             Kind::Service => Self { rank: 100, sacrifice: Sacrifice::Never, max_slowdown: 1.3 },
@@ -40,28 +41,28 @@
     }
 }
 
-/// The answers of a policy for the classes that exist.
+/// The results of a policy for the existing classes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PolicyTable {
-    /// The configuration revision it was worked out from.
+    /// The configuration revision that the table was computed from.
     pub revision: u64,
-    /// How much tail latency weighs against throughput, from 0.0 to 1.0.
+    /// The weight of tail latency against throughput, from 0.0 to 1.0.
     pub tail_weight: f64,
     /// The rule of each class.
     pub rules: BTreeMap<TaskClass, ClassRule>,
     /// Pairs of classes that may not share a worker, each in both orders.
     pub apart: BTreeSet<(TaskClass, TaskClass)>,
-    /// The most that each team's batch jobs may hold in one shard.
+    /// The largest amount of resources that each team's jobs may hold in one shard.
     pub quotas: BTreeMap<TeamId, Resources>,
 }
 
 impl PolicyTable {
-    /// The rule of a class.
+    /// Returns the rule of a class.
     pub fn rule(&self, class: &TaskClass, kind: Kind) -> ClassRule {
         self.rules.get(class).cloned().unwrap_or_else(|| ClassRule::default_of(kind))
     }
 
-    /// Whether two classes may share a worker.
+    /// Returns whether two classes may share a worker.
     pub fn may_share(&self, one: &TaskClass, other: &TaskClass) -> bool {
         self.apart.is_empty() || !self.apart.contains(&(one.clone(), other.clone()))
     }
--- a/crates/kitetrail-core/src/placement/relief.rs
+++ b/crates/kitetrail-core/src/placement/relief.rs
@@ -1,4 +1,4 @@
-//! What is done when a worker's services suffer: throttle first, then evict.
+//! The relief of a worker whose services are too slow: throttle other tasks first, then evict them.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,24 +7,26 @@
 use super::{Band, Placer, Sacrifice};
 use crate::{Attempt, TaskClass, TaskId, Time, task::Kind, worker::Want};
 
-/// The part of the harm a task does that goes away when it is throttled.
+/// The share of a task's effect on others that is removed by throttling it.
 const THROTTLE_RELIEF: f64 = 0.7;
-/// The share of a new sample in the smoothed slowdown.
+/// The weight of a new sample in the smoothed slowdown.
 const SMOOTHING: f64 = 0.3;
 
-/// When relief is given and taken back.
+/// The settings of relief.
 #[derive(Debug, Clone, PartialEq, Eq, Builder)]
 pub struct ReliefSettings {
-    /// Whether relief is given at all. Off for a baseline only.
+    /// Whether relief is enabled. It is disabled only for baselines.
     #[builder(default = true)]
     pub enabled: bool,
-    /// How long a throttle is given to help before a task is evicted.
+    /// The shortest time between two steps, so that a throttle can take effect before a task
+    /// is evicted.
     #[builder(default = Duration::from_secs(4))]
-    pub throttle_patience: Duration,
-    /// How long a worker must be calm before a throttle is lifted.
+    pub min_step_interval: Duration,
+    /// The time for which all slowdowns on a worker must stay below `calm_percent` before one
+    /// throttle is lifted.
     #[builder(default = Duration::from_secs(10))]
-    pub calm_before_lift: Duration,
-    /// The part of the allowed slowdown under which a worker counts as calm, in percent.
+    pub lift_delay: Duration,
+    /// The share of the allowed slowdown up to which a worker counts as calm, in percent.
     #[builder(default = 85)]
     pub calm_percent: u32,
 }
@@ -35,71 +37,71 @@
     }
 }
 
-/// A task on the worker, as relief sees it.
+/// A task on the worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Resident {
     /// The task.
     pub task: TaskId,
     /// The run.
     pub attempt: Attempt,
-    /// Its kind.
+    /// The kind of the task.
     pub kind: Kind,
-    /// Its class.
+    /// The class of the task.
     pub class: TaskClass,
-    /// What the owner wants of it now.
+    /// The state that the owner currently requests of the run.
     pub want: Want,
-    /// The work an eviction would lose, in milliseconds.
+    /// The work that an eviction would lose, in milliseconds.
     pub unsaved_ms: u64,
 }
 
-/// One thing to be done about a task.
+/// A change of the state that is requested of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Step {
+pub struct ReliefStep {
     /// The task.
     pub task: TaskId,
     /// The run.
     pub attempt: Attempt,
-    /// What is wanted of it.
+    /// The new requested state.
     pub want: Want,
 }
 
-impl Step {
+impl ReliefStep {
     fn new(resident: &Resident, want: Want) -> Self {
         Self { task: resident.task.clone(), attempt: resident.attempt, want }
     }
 }
 
-/// A class that suffers more than it may.
+/// A class whose slowdown exceeds its limit.
 struct Pressure {
     victim: TaskClass,
     rank: u8,
     excess: f64,
 }
 
-/// The pressure on one worker and what was done about it.
+/// The slowdown of the classes on one worker, and the time of the latest step against it.
 #[derive(Debug, Clone, Default)]
-pub struct Relief {
+pub struct ReliefState {
     slowdown: BTreeMap<TaskClass, f64>,
     last_step: Option<Time>,
     calm_since: Option<Time>,
 }
 
-impl Relief {
-    /// Takes in the slowdown measured of a class on this worker.
+impl ReliefState {
+    /// Records a measured slowdown of a class on this worker.
     pub fn observe(&mut self, class: &TaskClass, slowdown: f64) {
         let smoothed = self.slowdown.entry(class.clone()).or_insert(slowdown);
         *smoothed += (slowdown - *smoothed) * SMOOTHING;
     }
 
-    /// The smoothed slowdown of a class, 1.0 if it was never measured.
+    /// Returns the smoothed slowdown of a class, or 1.0 if it was never measured.
     pub fn slowdown(&self, class: &TaskClass) -> f64 {
         self.slowdown.get(class).copied().unwrap_or(1.0)
     }
 
-    /// The next step, if one is due: which tasks, and what is wanted of them.
+    /// Returns the changes to the requested states of tasks that are due now.
     ///
-    /// A step is as large as the pressure, as far as the blame is known, and is given time
-    /// to show its effect before the next.
+    /// Enough tasks are changed at once to cover the excess slowdown, as far as their effects
+    /// are known. The next changes wait until these had time to take effect.
     pub fn step<P: Placer>(
         &mut self,
         placer: &P,
@@ -107,17 +109,17 @@
         residents: &[Resident],
         band: Band,
         now: Time,
-    ) -> Vec<Step> {
+    ) -> Vec<ReliefStep> {
         if !settings.enabled {
             return Vec::new();
         }
-        self.slowdown.retain(|class, _| residents.iter().any(|r| r.class == *class));
+        self.slowdown.retain(|class, _| residents.iter().any(|resident| resident.class == *class));
         if let Some(pressure) = self.pressure(placer, residents, 100) {
             self.calm_since = None;
-            if !self.step_is_due(settings, now) {
+            if !self.is_step_due(settings, now) {
                 return Vec::new();
             }
-            let steps = relieve(placer, residents, &pressure, band);
+            let steps = relief_steps(placer, residents, &pressure, band);
             self.last_step = if steps.is_empty() { self.last_step } else { Some(now) };
             return steps;
         }
@@ -125,95 +127,97 @@
             self.calm_since = None;
             return Vec::new();
         }
-        self.lift(settings, residents, now).into_iter().collect()
+        self.lift_throttle(settings, residents, now).into_iter().collect()
     }
 
-    fn step_is_due(&self, settings: &ReliefSettings, now: Time) -> bool {
-        self.last_step.is_none_or(|at| now.since(at) >= settings.throttle_patience)
+    fn is_step_due(&self, settings: &ReliefSettings, now: Time) -> bool {
+        self.last_step.is_none_or(|at| now.since(at) >= settings.min_step_interval)
     }
 
-    /// The class that suffers the most beyond the given part of what it may suffer.
+    /// Returns the class with the largest excess over the given percentage of its allowed
+    /// slowdown.
     fn pressure<P: Placer>(
         &self,
         placer: &P,
         residents: &[Resident],
         percent: u32,
     ) -> Option<Pressure> {
-        let of = |resident: &Resident| {
+        let pressure_on = |resident: &Resident| {
             let rule = placer.policy().rule(&resident.class, resident.kind);
             let allowed = rule.max_slowdown * f64::from(percent) / 100.0;
             let excess = self.slowdown(&resident.class) - allowed;
             Pressure { victim: resident.class.clone(), rank: rule.rank, excess }
         };
-        let pressures = residents.iter().map(of).filter(|pressure| pressure.excess > 0.0);
+        let pressures = residents.iter().map(pressure_on).filter(|pressure| pressure.excess > 0.0);
         pressures.max_by(|a, b| a.excess.total_cmp(&b.excess))
     }
 
-    /// Lifts one throttle after a calm while.
-    fn lift(
+    /// Lifts one throttle once the worker has been calm for long enough.
+    fn lift_throttle(
         &mut self,
         settings: &ReliefSettings,
         residents: &[Resident],
         now: Time,
-    ) -> Option<Step> {
+    ) -> Option<ReliefStep> {
         let calm_since = *self.calm_since.get_or_insert(now);
-        if now.since(calm_since) < settings.calm_before_lift {
+        if now.since(calm_since) < settings.lift_delay {
             return None;
         }
         let throttled = residents.iter().find(|resident| resident.want == Want::Throttle)?;
         self.calm_since = Some(now);
-        Some(Step::new(throttled, Want::Run))
+        Some(ReliefStep::new(throttled, Want::Run))
     }
 }
 
-/// The cheapest step that helps: throttle the most blamed; when all are throttled, evict
-/// those that lose least for the relief they bring.
-fn relieve<P: Placer>(
+/// Returns the cheapest changes that help: throttle the tasks with the largest effect or,
+/// once all are throttled, evict those that lose the least work per unit of relief.
+fn relief_steps<P: Placer>(
     placer: &P,
     residents: &[Resident],
     pressure: &Pressure,
     band: Band,
-) -> Vec<Step> {
+) -> Vec<ReliefStep> {
     let victim = &pressure.victim;
-    let may = |resident: &Resident, sacrifice: Sacrifice| {
+    let allows = |resident: &Resident, sacrifice: Sacrifice| {
         let rule = placer.policy().rule(&resident.class, resident.kind);
         resident.class != *victim && rule.rank < pressure.rank && rule.sacrifice >= sacrifice
     };
     let blame = |resident: &Resident| placer.blame(victim, &resident.class, band);
-    let mut able: Vec<&Resident> = residents
+    let mut eligible: Vec<&Resident> = residents
         .iter()
-        .filter(|resident| resident.want == Want::Run && may(resident, Sacrifice::Throttle))
+        .filter(|resident| resident.want == Want::Run && allows(resident, Sacrifice::Throttle))
         .collect();
-    able.sort_by(|a, b| blame(b).total_cmp(&blame(a)).then(a.unsaved_ms.cmp(&b.unsaved_ms)));
-    if !able.is_empty() {
+    eligible.sort_by(|a, b| blame(b).total_cmp(&blame(a)).then(a.unsaved_ms.cmp(&b.unsaved_ms)));
+    if !eligible.is_empty() {
         let relief = |resident: &Resident| blame(resident) * THROTTLE_RELIEF;
-        return enough(&able, pressure.excess, relief, Want::Throttle);
+        return steps_to_cover(&eligible, pressure.excess, relief, Want::Throttle);
     }
-    able = residents
+    eligible = residents
         .iter()
-        .filter(|resident| resident.want == Want::Throttle && may(resident, Sacrifice::Evict))
+        .filter(|resident| resident.want == Want::Throttle && allows(resident, Sacrifice::Evict))
         .collect();
-    let cost = |resident: &Resident| cost_of_eviction(placer, victim, resident, band);
-    able.sort_by(|a, b| cost(a).total_cmp(&cost(b)));
-    enough(
-        &able,
+    let cost = |resident: &Resident| eviction_cost(placer, victim, resident, band);
+    eligible.sort_by(|a, b| cost(a).total_cmp(&cost(b)));
+    steps_to_cover(
+        &eligible,
         pressure.excess,
         |resident| blame(resident) * (1.0 - THROTTLE_RELIEF),
         Want::Checkpoint,
     )
 }
 
-/// The first few tasks whose relief together is expected to cover the excess, at least one.
-fn enough(
-    able: &[&Resident],
+/// Returns steps for the first tasks whose combined relief is expected to cover the excess,
+/// and for at least one task if there is any.
+fn steps_to_cover(
+    eligible: &[&Resident],
     excess: f64,
     relief: impl Fn(&Resident) -> f64,
     want: Want,
-) -> Vec<Step> {
+) -> Vec<ReliefStep> {
     let mut covered = 0.0;
     let mut steps = Vec::new();
-    for resident in able {
-        steps.push(Step::new(resident, want));
+    for resident in eligible {
+        steps.push(ReliefStep::new(resident, want));
         covered += relief(resident);
         if covered >= excess {
             break;
@@ -222,8 +226,8 @@
     steps
 }
 
-/// The work lost for each unit of relief.
-fn cost_of_eviction<P: Placer>(
+/// Returns the work that an eviction loses per unit of relief.
+fn eviction_cost<P: Placer>(
     placer: &P,
     victim: &TaskClass,
     resident: &Resident,
--- a/crates/kitetrail-core/src/shard/event.rs
+++ b/crates/kitetrail-core/src/shard/event.rs
@@ -157,7 +157,7 @@
     },
     /// The table does not answer. Running work is kept; nothing new is placed.
     Detached,
-    /// The table answers again.
+    /// The table is reachable again.
     Attached,
 }
 
--- a/crates/kitetrail-core/src/shard/owner/relieve.rs
+++ b/crates/kitetrail-core/src/shard/owner/relieve.rs
@@ -1,7 +1,7 @@
 //! The removal of work from workers that don't reply, are leaving, or run services too slowly.
 
 use super::{CrashEvidence, DRAIN_TIMEOUT, EndedRun, Owner, RunEnd};
-use crate::placement::Step;
+use crate::placement::ReliefStep;
 use crate::{
     Time,
     placement::{Band, Placer, ReliefSettings, Resident},
@@ -104,7 +104,7 @@
             let residents = residents_of(&state.ledger);
             let band = Band::of(state.ledger.used(), &state.capacity());
             for step in state.relief.step(placer, relief, &residents, band, now) {
-                let Step { task, attempt, want } = step;
+                let ReliefStep { task, attempt, want } = step;
                 let Some(grant) = state.ledger.get_mut(&task, attempt) else { continue };
                 grant.want = want;
                 state.next_sync = now;
--- a/crates/kitetrail-core/src/shard/worker_state.rs
+++ b/crates/kitetrail-core/src/shard/worker_state.rs
@@ -6,7 +6,7 @@
 use crate::{
     Attempt, Resources, SpecName, TaskId, Time,
     fleet::{Liveness, WorkerInfo},
-    placement::Relief,
+    placement::ReliefState,
     worker::{Order, SyncReply, TaskReport, Wants},
 };
 
@@ -41,7 +41,7 @@
     /// The time at which the next sync request is due.
     pub next_sync: Time,
     /// The slowdown of the classes on the worker, and the steps taken against it.
-    pub relief: Relief,
+    pub relief: ReliefState,
     /// The ended runs that the worker still reports.
     pub unsettled: Vec<(TaskId, Attempt)>,
     sequence_sent: u64,
@@ -66,7 +66,7 @@
             leases_end_at,
             in_flight: false,
             next_sync: now,
-            relief: Relief::default(),
+            relief: ReliefState::default(),
             unsettled: Vec::new(),
             sequence_sent: 0,
             sequence_seen: 0,
