--- a/crates/kitetrail-core/src/routing/balancer.rs
+++ b/crates/kitetrail-core/src/routing/balancer.rs
@@ -1,20 +1,21 @@
-//! The choice of one endpoint among those of a service.
+//! Load balancing among the endpoints of a service.
 
 use rand::Rng;
 
 use super::{EndpointId, EndpointState};
 use crate::Time;
 
-/// How many random endpoints are looked at before a short search.
-const SAMPLES: usize = 4;
-/// How many endpoints the search looks at, so that its time doesn't grow with the fleet.
-const MAX_SEARCH: usize = 24;
+/// The largest number of random endpoints that are sampled before the search.
+const RANDOM_SAMPLES: usize = 4;
+/// The largest number of endpoints that the search examines. It bounds the time in a large
+/// fleet.
+const MAX_SEARCHED: usize = 24;
 
-/// A way to choose among endpoints.
+/// A strategy for choosing among endpoints.
 pub trait Balancer {
-    /// An endpoint with room, or `None` if none was found.
+    /// Returns an endpoint with capacity for a request, or `None` if none was found.
     ///
-    /// `endpoints` holds the state of each id in `among`.
+    /// `endpoints` holds the state of every id in `among`.
     fn pick(
         &mut self,
         among: &[EndpointId],
@@ -24,7 +25,7 @@
     ) -> Option<EndpointId>;
 }
 
-/// Looks at a few random endpoints and takes the one with the shortest expected wait.
+/// Samples random endpoints and chooses the better of two by expected wait.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PowerOfTwo;
 
@@ -40,19 +41,19 @@
             return None;
         }
         let mut best: Option<(EndpointId, f64)> = None;
-        let mut seen = 0;
-        for _ in 0..SAMPLES {
+        let mut compared = 0;
+        for _ in 0..RANDOM_SAMPLES {
             let id = among[rng.random_range(0..among.len())];
             let state = &endpoints[id.0];
-            if !state.is_free(now) || best.is_some_and(|(known, _)| known == id) {
+            if !state.has_capacity(now) || best.is_some_and(|(known, _)| known == id) {
                 continue;
             }
             let cost = state.cost(now);
             if best.is_none_or(|(_, lowest)| cost < lowest) {
                 best = Some((id, cost));
             }
-            seen += 1;
-            if seen == 2 {
+            compared += 1;
+            if compared == 2 {
                 break;
             }
         }
@@ -60,7 +61,7 @@
     }
 }
 
-/// Takes one endpoint after the other.
+/// Chooses the endpoints in turn.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RoundRobin {
     next: usize,
@@ -79,7 +80,7 @@
     }
 }
 
-/// The first endpoint with room from a random start.
+/// Returns the first endpoint with capacity, searching from a random start.
 fn search(
     among: &[EndpointId],
     endpoints: &[EndpointState],
@@ -87,6 +88,6 @@
     now: Time,
 ) -> Option<EndpointId> {
     let start = rng.random_range(0..among.len());
-    let ids = among.iter().cycle().skip(start).take(among.len().min(MAX_SEARCH));
-    ids.copied().find(|id| endpoints[id.0].is_free(now))
+    let ids = among.iter().cycle().skip(start).take(among.len().min(MAX_SEARCHED));
+    ids.copied().find(|id| endpoints[id.0].has_capacity(now))
 }
--- a/crates/kitetrail-core/src/routing/mod.rs
+++ b/crates/kitetrail-core/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Which endpoint takes a request, which requests wait, and which are given up.
+//! The routing of requests to endpoints, with queueing, retries and load shedding.
 
 mod balancer;
 mod endpoint;
--- a/crates/kitetrail-core/src/routing/queue.rs
+++ b/crates/kitetrail-core/src/routing/queue.rs
@@ -1,20 +1,20 @@
-//! Requests that wait, the ones that matter most first.
+//! The queue of requests that wait for an endpoint, ordered by importance.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
 use super::RequestNumber;
 use crate::Time;
 
-/// A request that waits.
+/// A queued request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Waiting {
     /// The request.
     pub number: RequestNumber,
-    /// Until when it may wait.
-    pub until: Time,
+    /// The time until which the request may wait.
+    pub wait_deadline: Time,
 }
 
-/// A bounded queue ordered by rank, then by arrival.
+/// A queue ordered by rank, then by arrival. Its users bound its length.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     waiting: BTreeMap<Position, Waiting>,
@@ -24,17 +24,17 @@
 type Position = (Reverse<u8>, u64);
 
 impl Queue {
-    /// How many requests wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether no request waits.
+    /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// How many requests are served before a new one of the given rank.
+    /// Returns the number of requests that are served before a new one of the given rank.
     pub fn ahead_of(&self, rank: u8) -> usize {
         match self.waiting.last_key_value() {
             Some(((Reverse(lowest), _), _)) if *lowest < rank => {
@@ -44,36 +44,36 @@
         }
     }
 
-    /// Adds a request behind all of its rank.
+    /// Adds a request behind all others of its rank.
     pub fn push(&mut self, rank: u8, waiting: Waiting) {
         self.arrivals += 1;
         self.waiting.insert((Reverse(rank), self.arrivals), waiting);
     }
 
-    /// Takes out the request that matters most.
+    /// Removes and returns the most important request.
     pub fn pop(&mut self) -> Option<Waiting> {
         self.waiting.pop_first().map(|(_, waiting)| waiting)
     }
 
-    /// Takes out the request that matters least if it matters less than `rank`.
-    pub fn pop_less_than(&mut self, rank: u8) -> Option<Waiting> {
+    /// Removes and returns the least important request if its rank is below `rank`.
+    pub fn pop_below(&mut self, rank: u8) -> Option<Waiting> {
         let entry = self.waiting.last_entry()?;
         let Reverse(lowest) = entry.key().0;
         (lowest < rank).then(|| entry.remove())
     }
 
-    /// Takes out every request that may not wait any longer.
+    /// Removes and returns every request whose wait is over.
     pub fn expire(&mut self, now: Time) -> Vec<Waiting> {
         let expired: Vec<Position> = self
             .waiting
             .iter()
-            .filter(|(_, waiting)| waiting.until <= now)
+            .filter(|(_, waiting)| waiting.wait_deadline <= now)
             .map(|(position, _)| *position)
             .collect();
         expired.iter().filter_map(|position| self.waiting.remove(position)).collect()
     }
 
-    /// Takes out one request.
+    /// Removes a request.
     pub fn remove(&mut self, number: RequestNumber) {
         self.waiting.retain(|_, waiting| waiting.number != number);
     }
--- a/crates/kitetrail-core/src/routing/request.rs
+++ b/crates/kitetrail-core/src/routing/request.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival to its final answer.
+//! The stages of a request, from its arrival to its final answer.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -8,31 +8,31 @@
 use super::EndpointId;
 use crate::{SpecName, Time};
 
-/// The number of a request within one run of one box.
+/// The number of a request within one process of a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNumber(pub u64);
 
-/// A request that has just come in.
+/// A newly received request.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Its number.
+    /// The number of the request.
     pub number: RequestNumber,
-    /// The service it calls.
+    /// The service that the request calls.
     pub service: SpecName,
-    /// Whether it may safely run more than once.
+    /// Whether the request may safely run more than once.
     pub repeatable: bool,
-    /// How much it matters. Higher goes first.
+    /// The importance of the request. Higher ranks go first.
     pub rank: u8,
-    /// When its caller stops waiting.
+    /// The time at which the caller stops waiting.
     pub deadline: Time,
 }
 
-/// What an answer means to its caller.
+/// What the caller may conclude from an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The answer is the endpoint's, whole.
+    /// The answer is the complete answer of the endpoint.
     Done,
-    /// The request was not run and will not be.
+    /// The request did not run and will not run.
     NotRun,
     /// The request may have run.
     Unknown,
@@ -48,18 +48,18 @@
     }
 }
 
-/// Why a request was given up.
+/// The reason for rejecting a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// No service of that name answers anywhere.
+    /// The service has no endpoint.
     NoEndpoint,
-    /// It could not have been served in time.
+    /// The request would not have been served in time.
     Overload,
-    /// Its time ran out.
+    /// The deadline has passed.
     Deadline,
-    /// No endpoint took it within the sends it may have.
+    /// No endpoint accepted the request within the allowed number of sends.
     Refused,
-    /// The exchange broke off.
+    /// The exchange with the endpoint failed before a complete answer arrived.
     Lost,
 }
 
@@ -75,43 +75,43 @@
     }
 }
 
-/// The final answer to a request that was given up.
+/// The final answer to a rejected request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GivenUp {
     /// What the caller may conclude.
     pub outcome: Outcome,
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// When to come back.
+    /// The time after which the caller should retry.
     pub retry_after: Duration,
 }
 
-/// What is to be done with a request now.
+/// The next action for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Send it to an endpoint.
+    /// Send the request to an endpoint.
     Send(EndpointId),
-    /// Hold it: it will come up in [`Router::take_ready`](super::Router::take_ready).
+    /// Hold the request until [`Router::take_ready`](super::Router::take_ready) returns it.
     Wait,
-    /// Answer it: it is given up.
+    /// Reject the request with this answer.
     GiveUp(GivenUp),
-    /// Pass on the endpoint's answer.
+    /// Forward the endpoint's answer.
     Deliver,
 }
 
-/// How an exchange with an endpoint went.
+/// The result of an exchange with an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exchange {
-    /// An answer came, which the endpoint calls a success or the caller's fault.
+    /// An answer arrived that reports success or an error of the caller.
     Answered,
-    /// An answer came that reports a failure of the endpoint.
+    /// An answer arrived that reports a failure of the endpoint.
     Failed,
-    /// The endpoint says that it refused before running.
+    /// The endpoint reported that it refused the request before running it.
     Refused,
     /// No byte of the request reached the endpoint.
     NotSent,
-    /// The request may have run; no whole answer came.
+    /// The request may have run, but no complete answer arrived.
     Lost,
-    /// The caller went away, which says nothing about the endpoint.
+    /// The caller disconnected, which shows nothing about the endpoint.
     CallerGone,
 }
--- a/crates/kitetrail-core/src/routing/retry_budget.rs
+++ b/crates/kitetrail-core/src/routing/retry_budget.rs
@@ -1,33 +1,33 @@
-//! Retries as a share of traffic.
+//! A budget that limits retries to a share of the traffic.
 
-/// What one retry takes from the budget.
+/// The cost of one retry.
 const RETRY_COST: u32 = 100;
-/// The most that can be saved up, in retries.
-const MAX_SAVED: u32 = 20;
+/// The largest balance, in retries.
+const MAX_BALANCE: u32 = 20;
 
 /// A budget that grows with first sends and shrinks with retries and hedges.
 #[derive(Debug, Clone)]
 pub(super) struct RetryBudget {
     percent: u32,
-    saved: u32,
+    balance: u32,
 }
 
 impl RetryBudget {
-    /// A budget of so many retries for each hundred requests, full to begin with.
+    /// Creates a full budget that grows by `percent` retries for each hundred requests.
     pub fn new(percent: u32) -> Self {
-        Self { percent, saved: MAX_SAVED * RETRY_COST }
+        Self { percent, balance: MAX_BALANCE * RETRY_COST }
     }
 
-    /// Takes in that a request was sent for the first time.
+    /// Records that a request was sent for the first time.
     pub fn note_first_send(&mut self) {
-        self.saved = (self.saved + self.percent).min(MAX_SAVED * RETRY_COST);
+        self.balance = (self.balance + self.percent).min(MAX_BALANCE * RETRY_COST);
     }
 
-    /// Takes one retry out if there is one.
-    pub fn try_take(&mut self) -> bool {
-        match self.saved.checked_sub(RETRY_COST) {
-            Some(rest) => {
-                self.saved = rest;
+    /// Withdraws one retry if the balance suffices. Returns whether it did.
+    pub fn try_withdraw(&mut self) -> bool {
+        match self.balance.checked_sub(RETRY_COST) {
+            Some(remaining) => {
+                self.balance = remaining;
                 true
             }
             None => false,
--- a/crates/kitetrail-core/src/routing/router.rs
+++ b/crates/kitetrail-core/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! The router of one box.
+//! The request router of one box.
 
 mod endpoints;
 
@@ -21,17 +21,17 @@
     shard::{EndpointSet, PlacedEndpoint},
 };
 
-/// After how long without any endpoint a caller should come back.
+/// The time after which a caller should retry a request to a service without endpoints.
 const NO_ENDPOINT_RETRY: Duration = Duration::from_secs(1);
 
-/// Routes the requests of one box: `(state, event, now) -> verdict`.
+/// The state machine that routes the requests of one box: `(state, event, now) -> verdict`.
 #[derive(Debug)]
 pub struct Router<B> {
     settings: RouterSettings,
     balancer: B,
     rng: ChaCha8Rng,
     boxes: u32,
-    place: u32,
+    box_index: u32,
     sets: BTreeMap<ShardId, KnownSet>,
     leaving: BTreeSet<WorkerId>,
     services: HashMap<SpecName, Service>,
@@ -53,7 +53,7 @@
     sends: u32,
     sent_at: Time,
     tried: Vec<EndpointId>,
-    /// Whether a send may have reached an endpoint that did not refuse it.
+    /// Whether the request may have reached an endpoint that did not refuse it.
     may_have_run: bool,
 }
 
@@ -62,25 +62,25 @@
 pub struct ServiceView {
     /// The service.
     pub service: SpecName,
-    /// How many endpoints this box knows.
+    /// The number of endpoints that this box knows.
     pub endpoints: usize,
-    /// How many of them are ejected.
+    /// The number of ejected endpoints.
     pub ejected: usize,
-    /// How many requests wait in this box.
+    /// The number of requests queued on this box.
     pub queued: usize,
-    /// How many requests of this box are on their way.
+    /// The number of this box's requests in flight.
     pub outstanding: usize,
 }
 
 impl<B: Balancer> Router<B> {
-    /// A router that knows no endpoints yet.
+    /// Creates a router without endpoints.
     pub fn new(settings: RouterSettings, balancer: B, seed: u64) -> Self {
         Self {
             settings,
             balancer,
             rng: ChaCha8Rng::seed_from_u64(seed),
             boxes: 1,
-            place: 0,
+            box_index: 0,
             sets: BTreeMap::new(),
             leaving: BTreeSet::new(),
             services: HashMap::new(),
@@ -90,22 +90,22 @@
         }
     }
 
-    /// What is known of an endpoint.
+    /// Returns the state of an endpoint.
     pub fn endpoint(&self, id: EndpointId) -> &EndpointState {
         &self.endpoints[id.0]
     }
 
-    /// How many connections this box may hold to one endpoint.
+    /// Returns the number of connections that this box may open to one endpoint.
     pub fn connection_share(&self) -> u32 {
         (self.settings.connections_per_endpoint / self.boxes.max(1)).max(1)
     }
 
-    /// How many requests are queued or on their way.
+    /// Returns the number of requests that are queued or in flight.
     pub fn requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// A summary of each service, by name.
+    /// Returns a summary of each service, ordered by name.
     pub fn views(&self, now: Time) -> Vec<ServiceView> {
         let mut views: Vec<ServiceView> = self
             .services
@@ -122,7 +122,7 @@
         views
     }
 
-    /// The endpoints told by each shard, newest first known.
+    /// Returns the newest known endpoint set of each shard.
     pub fn sets(&self) -> Vec<EndpointSet> {
         let sets = self.sets.iter().map(|(shard, known)| EndpointSet {
             shard: shard.clone(),
@@ -133,7 +133,7 @@
         sets.collect()
     }
 
-    /// Takes in a new request.
+    /// Handles a new request.
     pub fn offer(&mut self, arrival: Arrival, now: Time) -> Verdict {
         let Some(service) = self.services.get(&arrival.service) else {
             return no_endpoint();
@@ -155,7 +155,7 @@
         self.admit(number, now)
     }
 
-    /// Takes in how an exchange went. The connection's slot is free again.
+    /// Handles the end of an exchange, which frees its slot.
     pub fn finish(
         &mut self,
         number: RequestNumber,
@@ -164,32 +164,32 @@
         now: Time,
     ) -> Verdict {
         let Some(request) = self.requests.get_mut(&number) else { return Verdict::Deliver };
-        let took = now.since(request.sent_at);
+        let latency = now.since(request.sent_at);
         request.may_have_run |= exchange == Exchange::Lost;
         let service_name = request.arrival.service.clone();
-        self.note_exchange(&service_name, endpoint, exchange, took, now);
+        self.note_exchange(&service_name, endpoint, exchange, latency, now);
         match exchange {
             Exchange::Answered | Exchange::Failed => {
                 self.requests.remove(&number);
                 Verdict::Deliver
             }
-            Exchange::Refused | Exchange::NotSent => self.send_again(number, Reason::Refused, now),
-            Exchange::Lost | Exchange::CallerGone => self.send_again(number, Reason::Lost, now),
+            Exchange::Refused | Exchange::NotSent => self.resend(number, Reason::Refused, now),
+            Exchange::Lost | Exchange::CallerGone => self.resend(number, Reason::Lost, now),
         }
     }
 
-    /// Gives a request up whose time ran out while it was on its way to `endpoint`.
+    /// Rejects a request whose deadline passed during its exchange with `endpoint`.
     pub fn time_out(&mut self, number: RequestNumber, endpoint: EndpointId, now: Time) -> GivenUp {
         let retry_after = self.drop_request(number, Some(endpoint), Exchange::Lost, now);
         GivenUp { outcome: Outcome::Unknown, reason: Reason::Deadline, retry_after }
     }
 
-    /// Drops a request whose caller has gone.
+    /// Drops a request whose caller disconnected.
     pub fn abandon(&mut self, number: RequestNumber, endpoint: Option<EndpointId>, now: Time) {
         self.drop_request(number, endpoint, Exchange::CallerGone, now);
     }
 
-    /// Forgets a request. Returns when a like one should come back.
+    /// Removes a request. Returns the time after which a similar request should be retried.
     fn drop_request(
         &mut self,
         number: RequestNumber,
@@ -200,15 +200,15 @@
         let Some(request) = self.requests.remove(&number) else { return NO_ENDPOINT_RETRY };
         let name = &request.arrival.service;
         if let Some(endpoint) = endpoint {
-            let took = now.since(request.sent_at);
-            self.note_exchange(name, endpoint, exchange, took, now);
+            let latency = now.since(request.sent_at);
+            self.note_exchange(name, endpoint, exchange, latency, now);
         }
         let Some(service) = self.services.get_mut(name) else { return NO_ENDPOINT_RETRY };
         service.queue.remove(number);
         service.retry_after()
     }
 
-    /// Requests that waited and can be sent now.
+    /// Removes the requests from the queues that can be sent now, and returns them.
     pub fn take_ready(&mut self, now: Time) -> Vec<(RequestNumber, EndpointId)> {
         let mut ready = Vec::new();
         let waiting: Vec<SpecName> = self
@@ -228,11 +228,11 @@
         ready
     }
 
-    /// Requests that may not wait any longer, with their final answers.
+    /// Removes the requests whose wait is over, and returns them with their final answers.
     pub fn expire(&mut self, now: Time) -> Vec<(RequestNumber, GivenUp)> {
         let mut given_up = Vec::new();
         for service in self.services.values_mut() {
-            service.rate(now);
+            service.update_rate(now);
             for waiting in service.queue.expire(now) {
                 service.note_refused(now);
                 given_up.push((waiting.number, service.retry_after()));
@@ -251,16 +251,15 @@
             .collect()
     }
 
-    /// Takes the request out of a service's queue that matters least, if it matters less
-    /// than `rank`.
+    /// Removes the least important request from a service's queue if its rank is below `rank`.
     fn displace(&mut self, service: &SpecName, rank: u8, now: Time) -> Option<RequestNumber> {
         let service = self.services.get_mut(service)?;
-        let displaced = service.queue.pop_less_than(rank)?;
+        let displaced = service.queue.pop_below(rank)?;
         service.note_refused(now);
         Some(displaced.number)
     }
 
-    /// Sends a request at once, lets it wait, or gives it up.
+    /// Sends a request at once, queues it, or rejects it.
     fn admit(&mut self, number: RequestNumber, now: Time) -> Verdict {
         let Some(request) = self.requests.get(&number) else { return Verdict::Deliver };
         let arrival = request.arrival.clone();
@@ -287,9 +286,9 @@
         if wait > left.min(allowed) {
             return self.give_up(arrival.number, Reason::Overload, now);
         }
-        let until = (now + allowed).min(arrival.deadline);
+        let wait_deadline = (now + allowed).min(arrival.deadline);
         let full = service.queue.len() >= settings.max_queued;
-        service.queue.push(arrival.rank, Waiting { number: arrival.number, until });
+        service.queue.push(arrival.rank, Waiting { number: arrival.number, wait_deadline });
         if !full {
             return Verdict::Wait;
         }
@@ -303,26 +302,26 @@
         }
     }
 
-    /// Puts a displaced request back with no time left, so that the next
+    /// Queues a displaced request again with an expired wait, so that the next
     /// [`Router::expire`] answers it.
     fn expire_now(&mut self, number: RequestNumber, by: &Arrival, now: Time) {
         if let Some(service) = self.services.get_mut(&by.service) {
-            service.queue.push(0, Waiting { number, until: now });
+            service.queue.push(0, Waiting { number, wait_deadline: now });
         }
     }
 
-    /// Sends a request again if that is safe and within budget, or gives it up.
-    fn send_again(&mut self, number: RequestNumber, reason: Reason, now: Time) -> Verdict {
+    /// Resends a request if that is safe and within the retry budget, or rejects it.
+    fn resend(&mut self, number: RequestNumber, reason: Reason, now: Time) -> Verdict {
         let Some(request) = self.requests.get(&number) else { return Verdict::Deliver };
         let arrival = &request.arrival;
         let safe = arrival.repeatable || !request.may_have_run;
-        let in_time = now < arrival.deadline;
+        let before_deadline = now < arrival.deadline;
         let sends_left = request.sends < self.settings.max_sends;
         let service = self.services.get_mut(&arrival.service);
-        let affordable = || service.is_some_and(|service| service.budget.try_take());
+        let try_withdraw_retry = || service.is_some_and(|service| service.budget.try_withdraw());
         match safe && sends_left {
-            true if !in_time => self.give_up(number, Reason::Deadline, now),
-            true if affordable() => self.admit(number, now),
+            true if !before_deadline => self.give_up(number, Reason::Deadline, now),
+            true if try_withdraw_retry() => self.admit(number, now),
             _ => self.give_up(number, reason, now),
         }
     }
@@ -339,7 +338,8 @@
         Verdict::GiveUp(request.give_up(reason, retry_after))
     }
 
-    /// An endpoint with room: this zone first, another one when that is better.
+    /// Chooses an endpoint with capacity. Endpoints in this box's availability zone are
+    /// preferred unless an endpoint in another zone has a lower cost including the penalty.
     fn pick(&mut self, service: &SpecName, tried: &[EndpointId], now: Time) -> Option<EndpointId> {
         let Self { balancer, endpoints, rng, services, settings, .. } = self;
         let service = services.get(service)?;
@@ -356,7 +356,7 @@
             return pick(&all);
         }
         let Some(local) = pick(&service.local) else { return pick(&service.remote) };
-        let penalty_us = settings.other_zone_cost.as_micros() as f64;
+        let penalty_us = settings.cross_zone_cost.as_micros() as f64;
         if endpoints[local.0].cost(now) <= penalty_us * 2.0 {
             return Some(local);
         }
@@ -390,15 +390,15 @@
         name: &SpecName,
         endpoint: EndpointId,
         exchange: Exchange,
-        took: Duration,
+        latency: Duration,
         now: Time,
     ) {
         let ceiling = f64::from(self.connection_share());
         let state = &mut self.endpoints[endpoint.0];
-        state.note_over();
+        state.note_finished();
         let eject = match exchange {
             Exchange::Answered => {
-                state.note_success(took, ceiling, now);
+                state.note_success(latency, ceiling, now);
                 false
             }
             Exchange::Refused => {
@@ -420,10 +420,10 @@
         }
     }
 
-    /// Ejects an endpoint unless too many are ejected already.
+    /// Ejects an endpoint unless too many endpoints of the service are already ejected.
     fn eject(&mut self, name: &SpecName, endpoint: EndpointId, now: Time) {
         let Some(service) = self.services.get(name) else { return };
-        let allowed = service.endpoints() * self.settings.ejected_share_percent / 100;
+        let allowed = service.endpoints() * self.settings.max_ejected_percent / 100;
         if self.ejected(service, now) < allowed {
             self.endpoints[endpoint.0].eject(&self.settings, now);
         }
--- a/crates/kitetrail-core/src/routing/router/endpoints.rs
+++ b/crates/kitetrail-core/src/routing/router/endpoints.rs
@@ -1,4 +1,4 @@
-//! What the router knows of endpoints, and how their slots are shared.
+//! The endpoints known to the router, and the division of their slots among boxes.
 
 use std::collections::BTreeSet;
 
@@ -10,14 +10,14 @@
 };
 
 impl<B: Balancer> Router<B> {
-    /// Follows the number of boxes that share the endpoints, and the place of this one
-    /// among them.
-    pub fn set_boxes(&mut self, boxes: u32, place: u32) {
-        let (boxes, place) = (boxes.max(1), place.min(boxes.saturating_sub(1)));
-        if (boxes, place) == (self.boxes, self.place) {
+    /// Updates the number of boxes that share the endpoints, and the index of this box among
+    /// them.
+    pub fn set_boxes(&mut self, boxes: u32, box_index: u32) {
+        let (boxes, box_index) = (boxes.max(1), box_index.min(boxes.saturating_sub(1)));
+        if (boxes, box_index) == (self.boxes, self.box_index) {
             return;
         }
-        (self.boxes, self.place) = (boxes, place);
+        (self.boxes, self.box_index) = (boxes, box_index);
         for index in 0..self.endpoints.len() {
             self.set_share(EndpointId(index));
         }
@@ -30,27 +30,28 @@
         self.endpoints[id.0].set_share(share, slots, ceiling);
     }
 
-    /// The slots of an endpoint that are this box's: all slots, divided so that the
-    /// shares of all boxes add up to them, but never none. Which boxes get one more
-    /// differs from endpoint to endpoint, and all boxes agree on it.
+    /// Returns the number of an endpoint's slots that are reserved for this box, at least one.
+    ///
+    /// The shares of all boxes add up to all slots, unless there are more boxes than slots. The
+    /// boxes that get one slot more differ between endpoints, and all boxes agree on them.
     fn share_of(&self, id: EndpointId) -> f64 {
         let slots = self.settings.slots_per_endpoint;
         let address = self.endpoints[id.0].address.to_string();
         let start = xxhash_rust::xxh3::xxh3_64(address.as_bytes()) % u64::from(self.boxes);
-        let turn = (start as u32 + self.place) % self.boxes;
-        let share = slots / self.boxes + u32::from(turn < slots % self.boxes);
+        let offset = (start as u32 + self.box_index) % self.boxes;
+        let share = slots / self.boxes + u32::from(offset < slots % self.boxes);
         f64::from(share.max(1))
     }
 
-    /// Follows the box list's word on which workers are about to go or gone.
+    /// Updates the workers that are leaving or dead according to the box list.
     pub fn set_leaving(&mut self, leaving: BTreeSet<WorkerId>, now: Time) {
         if self.leaving != leaving {
             self.leaving = leaving;
-            self.rebuild(now);
+            self.rebuild_services(now);
         }
     }
 
-    /// Takes in where a shard's services answer, unless something newer is known.
+    /// Updates the endpoints of a shard's services unless a newer set is known.
     pub fn set_endpoints(&mut self, set: EndpointSet, now: Time) {
         let known = self.sets.get(&set.shard);
         let newest = known.map(|known| (known.epoch, known.sequence)).unwrap_or_default();
@@ -61,12 +62,12 @@
         let EndpointSet { shard, epoch, sequence, endpoints } = set;
         self.sets.insert(shard, KnownSet { epoch, sequence, endpoints });
         if !unchanged {
-            self.rebuild(now);
+            self.rebuild_services(now);
         }
     }
 
-    /// Works the endpoints of all services out anew. What is known of each is kept.
-    fn rebuild(&mut self, now: Time) {
+    /// Rebuilds the endpoint lists of all services. The state of each endpoint is kept.
+    fn rebuild_services(&mut self, now: Time) {
         for service in self.services.values_mut() {
             service.local.clear();
             service.remote.clear();
@@ -95,11 +96,11 @@
                 continue;
             }
             self.endpoints[id.0].leaving = false;
-            let side = match placed.zone == self.settings.zone {
+            let zone_endpoints = match placed.zone == self.settings.zone {
                 true => &mut service.local,
                 false => &mut service.remote,
             };
-            side.push(id);
+            zone_endpoints.push(id);
         }
     }
 }
--- a/crates/kitetrail-core/src/routing/service.rs
+++ b/crates/kitetrail-core/src/routing/service.rs
@@ -1,44 +1,44 @@
-//! The requests and endpoints of one service as this box sees them.
+//! The state that this box keeps for one service.
 
 use std::time::Duration;
 
 use super::{EndpointId, queue::Queue, retry_budget::RetryBudget};
 use crate::Time;
 
-/// Over how long the rate of answers is smoothed.
+/// The time over which the rate of answers is smoothed, in seconds.
 const RATE_WINDOW_S: f64 = 1.0;
-/// The part of the longest wait that is left under overload.
-const OVERLOADED_PART: u32 = 8;
-/// How many of a hundred requests are refused when overload begins, and when it is over.
+/// The divisor of the longest wait during overload.
+const OVERLOADED_WAIT_DIVISOR: u32 = 8;
+/// The percentages of rejected requests above which overload begins and up to which it ends.
 const OVERLOAD_PERCENT: (u32, u32) = (10, 2);
-/// The shortest time after which to come back.
+/// The shortest time after which a caller is told to retry.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// The longest time after which to come back.
+/// The longest time after which a caller is told to retry.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// The requests and endpoints of one service as this box sees them.
+/// The requests and endpoints of one service, as far as this box knows them.
 #[derive(Debug)]
 pub(super) struct Service {
-    /// Its endpoints in this box's availability zone.
+    /// The endpoints in this box's availability zone.
     pub local: Vec<EndpointId>,
-    /// Its endpoints elsewhere.
+    /// The endpoints in other availability zones.
     pub remote: Vec<EndpointId>,
-    /// Its requests that wait.
+    /// The queued requests.
     pub queue: Queue,
-    /// Its retries.
+    /// The retry budget.
     pub budget: RetryBudget,
-    /// How many of its requests are on their way.
+    /// The number of this box's requests in flight.
     pub outstanding: usize,
-    /// Whether many requests were refused of late.
+    /// Whether many requests were rejected recently.
     overloaded: bool,
     answers_per_s: f64,
-    rated_at: Time,
+    rate_updated_at: Time,
     answered: u32,
     refused: u32,
 }
 
 impl Service {
-    /// A service without endpoints or requests.
+    /// Creates a service without endpoints or requests.
     pub fn new(retry_percent: u32, now: Time) -> Self {
         Self {
             local: Vec::new(),
@@ -48,61 +48,61 @@
             outstanding: 0,
             overloaded: false,
             answers_per_s: 0.0,
-            rated_at: now,
+            rate_updated_at: now,
             answered: 0,
             refused: 0,
         }
     }
 
-    /// How many endpoints it has.
+    /// Returns the number of endpoints.
     pub fn endpoints(&self) -> usize {
         self.local.len() + self.remote.len()
     }
 
-    /// How long a new request may wait.
+    /// Returns the time that a new request may wait.
     ///
-    /// A queue that comes and goes evens out bursts. One that stands only makes every
-    /// request late, so while many are refused the wait is short.
+    /// A short-lived queue smooths bursts. A standing queue only delays every request, so the
+    /// wait is short while many requests are rejected.
     pub fn allowed_wait(&self, longest: Duration) -> Duration {
-        if self.overloaded { longest / OVERLOADED_PART } else { longest }
+        if self.overloaded { longest / OVERLOADED_WAIT_DIVISOR } else { longest }
     }
 
-    /// The expected wait behind so many requests.
+    /// Returns the expected wait behind `ahead` requests.
     pub fn expected_wait(&self, ahead: usize) -> Duration {
         let rate = self.answers_per_s.max(1.0);
         Duration::from_secs_f64((ahead as f64 / rate).min(3_600.0))
     }
 
-    /// When a request that is refused now should come back: when what waits is served,
-    /// later the more requests are being refused.
+    /// Returns the time after which a request that is rejected now should be retried: once the
+    /// queue has been served, and later the more requests are rejected.
     pub fn retry_after(&self) -> Duration {
         let pressure = f64::from(self.refused) / f64::from(self.answered.max(1));
         let wait = self.expected_wait(self.queue.len()).as_secs_f64() + pressure.min(30.0);
         Duration::from_secs_f64(wait).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// Takes in an answer.
+    /// Records an answer.
     pub fn note_answer(&mut self, now: Time) {
         self.answered += 1;
-        self.rate(now);
+        self.update_rate(now);
     }
 
-    /// Takes in a refusal.
+    /// Records a rejected request.
     pub fn note_refused(&mut self, now: Time) {
         self.refused += 1;
-        self.rate(now);
+        self.update_rate(now);
     }
 
-    /// Works out the rate of answers from time to time.
-    pub fn rate(&mut self, now: Time) {
-        let passed_s = now.since(self.rated_at).as_secs_f64();
+    /// Updates the rate of answers and the overload state, at most every quarter of the window.
+    pub fn update_rate(&mut self, now: Time) {
+        let passed_s = now.since(self.rate_updated_at).as_secs_f64();
         if passed_s < RATE_WINDOW_S / 4.0 {
             return;
         }
         let weight = (passed_s / RATE_WINDOW_S).min(1.0);
         let rate = f64::from(self.answered) / passed_s;
         self.answers_per_s += (rate - self.answers_per_s) * weight;
-        self.rated_at = now;
+        self.rate_updated_at = now;
         let (begins, ends) = OVERLOAD_PERCENT;
         let threshold = if self.overloaded { ends } else { begins };
         self.overloaded = self.refused * 100 > (self.answered + self.refused) * threshold;
--- a/crates/kitetrail-core/tests/routing.rs
+++ b/crates/kitetrail-core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The router on virtual time, with fake endpoints that take so long and fail so often.
+//! Simulations of the router on virtual time, with fake endpoints of given latency and results.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 use std::{collections::BTreeMap, fmt::Write as _, time::Duration};
@@ -17,19 +17,19 @@
 
 /// How a fake endpoint behaves.
 #[derive(Clone, Copy)]
-struct Habit {
-    takes_ms: u64,
+struct Behaviour {
+    latency_ms: u64,
     exchange: Exchange,
 }
 
-const GOOD: Habit = Habit { takes_ms: 20, exchange: Exchange::Answered };
+const HEALTHY: Behaviour = Behaviour { latency_ms: 20, exchange: Exchange::Answered };
 
-/// Endpoints, a router and the exchanges between them.
-struct Bench {
+/// A router, fake endpoints and the exchanges in flight.
+struct Simulation {
     router: Router<PowerOfTwo>,
-    habits: Vec<Habit>,
+    behaviours: Vec<Behaviour>,
     now_ms: u64,
-    sent: u64,
+    offered: u64,
     running: Vec<(u64, RequestNumber, EndpointId)>,
     repeatable: bool,
     counts: BTreeMap<&'static str, u64>,
@@ -38,14 +38,14 @@
     offered_at: BTreeMap<RequestNumber, u64>,
 }
 
-impl Bench {
-    fn new(habits: Vec<Habit>) -> Self {
+impl Simulation {
+    fn new(behaviours: Vec<Behaviour>) -> Self {
         let settings = RouterSettings::builder().zone("zone-0".parse().unwrap()).build();
-        let mut bench = Self {
+        let mut simulation = Self {
             router: Router::new(settings, PowerOfTwo, 1),
-            habits,
+            behaviours,
             now_ms: 1_000,
-            sent: 0,
+            offered: 0,
             running: Vec::new(),
             repeatable: true,
             counts: BTreeMap::new(),
@@ -53,12 +53,12 @@
             longest_wait_ms: 0,
             offered_at: BTreeMap::new(),
         };
-        bench.publish(1, &[]);
-        bench
+        simulation.publish(1, &[]);
+        simulation
     }
 
     fn publish(&mut self, sequence: u64, leaving: &[usize]) {
-        let placed = (0..self.habits.len()).map(|number| PlacedEndpoint {
+        let placed = (0..self.behaviours.len()).map(|number| PlacedEndpoint {
             service: "validate".parse().unwrap(),
             worker: format!("worker-{number}").parse().unwrap(),
             zone: "zone-0".parse().unwrap(),
@@ -75,28 +75,28 @@
         Time::from_ms(self.now_ms)
     }
 
-    fn count(&mut self, what: &'static str) {
-        *self.counts.entry(what).or_default() += 1;
+    fn count(&mut self, outcome: &'static str) {
+        *self.counts.entry(outcome).or_default() += 1;
     }
 
-    /// Offers so many requests a second for a while, each with a second to live.
-    fn offer(&mut self, per_s: u64, for_ms: u64) {
-        let until_ms = self.now_ms + for_ms;
+    /// Offers requests at a constant rate for a while, each with a deadline of one second.
+    fn offer(&mut self, requests_per_s: u64, duration_ms: u64) {
+        let until_ms = self.now_ms + duration_ms;
         let mut due = 0;
         while self.now_ms < until_ms {
-            due += per_s;
+            due += requests_per_s;
             while due >= 1_000 {
                 due -= 1_000;
-                self.offer_one();
+                self.offer_request();
             }
-            self.step();
+            self.advance_one_ms();
         }
     }
 
-    fn offer_one(&mut self) {
-        self.sent += 1;
+    fn offer_request(&mut self) {
+        self.offered += 1;
         let arrival = Arrival {
-            number: RequestNumber(self.sent),
+            number: RequestNumber(self.offered),
             service: "validate".parse().unwrap(),
             repeatable: self.repeatable,
             rank: 100,
@@ -104,34 +104,34 @@
         };
         self.offered_at.insert(arrival.number, self.now_ms);
         let verdict = self.router.offer(arrival.clone(), self.now());
-        self.follow(arrival.number, verdict);
+        self.apply_verdict(arrival.number, verdict);
     }
 
-    fn step(&mut self) {
+    fn advance_one_ms(&mut self) {
         self.now_ms += 1;
         let now_ms = self.now_ms;
         let ended: Vec<_> = self.running.extract_if(.., |(at, ..)| *at <= now_ms).collect();
         for (_, number, endpoint) in ended {
-            let exchange = self.habit(endpoint).exchange;
+            let exchange = self.behaviour(endpoint).exchange;
             let verdict = self.router.finish(number, endpoint, exchange, self.now());
-            self.follow(number, verdict);
+            self.apply_verdict(number, verdict);
         }
         for (number, given_up) in self.router.expire(self.now()) {
-            self.follow(number, Verdict::GiveUp(given_up));
+            self.apply_verdict(number, Verdict::GiveUp(given_up));
         }
         for (number, endpoint) in self.router.take_ready(self.now()) {
-            self.follow(number, Verdict::Send(endpoint));
+            self.apply_verdict(number, Verdict::Send(endpoint));
         }
     }
 
-    fn follow(&mut self, number: RequestNumber, verdict: Verdict) {
+    fn apply_verdict(&mut self, number: RequestNumber, verdict: Verdict) {
         match verdict {
             Verdict::Send(endpoint) => {
                 let state = self.router.endpoint(endpoint);
                 let port = u64::from(state.address.port());
-                assert!(state.outstanding() <= 60, "never beyond the connections");
+                assert!(state.outstanding() <= 60, "exceeds the connections per endpoint");
                 *self.sends_to.entry(port).or_default() += 1;
-                let at_ms = self.now_ms + self.habit(endpoint).takes_ms;
+                let at_ms = self.now_ms + self.behaviour(endpoint).latency_ms;
                 self.running.push((at_ms, number, endpoint));
             }
             Verdict::Wait => {}
@@ -149,12 +149,12 @@
         }
     }
 
-    fn habit(&self, endpoint: EndpointId) -> Habit {
-        self.habits[usize::from(self.router.endpoint(endpoint).address.port())]
+    fn behaviour(&self, endpoint: EndpointId) -> Behaviour {
+        self.behaviours[usize::from(self.router.endpoint(endpoint).address.port())]
     }
 
-    fn summary(&self, what: &str) -> String {
-        let mut text = format!("{what}\n    offered {}", self.sent);
+    fn summary(&self, scenario: &str) -> String {
+        let mut text = format!("{scenario}\n    offered {}", self.offered);
         for (outcome, count) in &self.counts {
             let _ = write!(text, ", {outcome} {count}");
         }
@@ -165,91 +165,89 @@
 }
 
 #[test]
-fn sessions_of_the_router() {
-    let mut told = String::new();
-
-    let mut bench = Bench::new(vec![GOOD; 4]);
-    bench.offer(800, 5_000);
-    told += &bench.summary("half the load that fits");
-
-    let mut bench = Bench::new(vec![GOOD; 4]);
-    bench.offer(16_000, 5_000);
-    told += &bench.summary("ten times the load that fits");
-
-    let slow = Habit { takes_ms: 400, ..GOOD };
-    let mut bench = Bench::new(vec![GOOD, GOOD, GOOD, slow]);
-    bench.offer(400, 5_000);
-    told += &bench.summary("one endpoint is twenty times slower");
-
-    let failing = Habit { takes_ms: 1, exchange: Exchange::Failed };
-    let mut bench = Bench::new(vec![GOOD, GOOD, GOOD, failing]);
-    bench.offer(400, 5_000);
-    told += &bench.summary("one endpoint fails everything fast");
-
-    let mut bench = Bench::new(vec![failing; 4]);
-    bench.offer(400, 5_000);
-    told += &bench.summary("all endpoints fail everything fast");
-
-    let mut bench = Bench::new(vec![slow; 4]);
-    bench.offer(800, 5_000);
-    told += &bench.summary("all endpoints are slow");
-
-    let losing = Habit { takes_ms: 20, exchange: Exchange::Lost };
-    let mut bench = Bench::new(vec![GOOD, GOOD, GOOD, losing]);
-    bench.repeatable = false;
-    bench.offer(400, 5_000);
-    told += &bench.summary("one endpoint loses answers to calls that must not be repeated");
-
-    let mut bench = Bench::new(vec![GOOD, GOOD, GOOD, losing]);
-    bench.offer(400, 5_000);
-    told += &bench.summary("one endpoint loses answers to calls that may be repeated");
-
-    let refusing = Habit { takes_ms: 1, exchange: Exchange::Refused };
-    let mut bench = Bench::new(vec![refusing; 4]);
-    bench.repeatable = false;
-    bench.offer(400, 5_000);
-    told += &bench.summary("all endpoints refuse");
-
-    expect_file!["golden/routing.txt"].assert_eq(&told);
+fn simulated_routing_matches_the_golden_file() {
+    let mut report = String::new();
+
+    let mut simulation = Simulation::new(vec![HEALTHY; 4]);
+    simulation.offer(800, 5_000);
+    report += &simulation.summary("half the load that fits");
+
+    let mut simulation = Simulation::new(vec![HEALTHY; 4]);
+    simulation.offer(16_000, 5_000);
+    report += &simulation.summary("ten times the load that fits");
+
+    let slow = Behaviour { latency_ms: 400, ..HEALTHY };
+    let mut simulation = Simulation::new(vec![HEALTHY, HEALTHY, HEALTHY, slow]);
+    simulation.offer(400, 5_000);
+    report += &simulation.summary("one endpoint is twenty times slower");
+
+    let failing = Behaviour { latency_ms: 1, exchange: Exchange::Failed };
+    let mut simulation = Simulation::new(vec![HEALTHY, HEALTHY, HEALTHY, failing]);
+    simulation.offer(400, 5_000);
+    report += &simulation.summary("one endpoint fails everything fast");
+
+    let mut simulation = Simulation::new(vec![failing; 4]);
+    simulation.offer(400, 5_000);
+    report += &simulation.summary("all endpoints fail everything fast");
+
+    let mut simulation = Simulation::new(vec![slow; 4]);
+    simulation.offer(800, 5_000);
+    report += &simulation.summary("all endpoints are slow");
+
+    let losing = Behaviour { latency_ms: 20, exchange: Exchange::Lost };
+    let mut simulation = Simulation::new(vec![HEALTHY, HEALTHY, HEALTHY, losing]);
+    simulation.repeatable = false;
+    simulation.offer(400, 5_000);
+    report += &simulation.summary("one endpoint loses answers to calls that must not be repeated");
+
+    let mut simulation = Simulation::new(vec![HEALTHY, HEALTHY, HEALTHY, losing]);
+    simulation.offer(400, 5_000);
+    report += &simulation.summary("one endpoint loses answers to calls that may be repeated");
+
+    let refusing = Behaviour { latency_ms: 1, exchange: Exchange::Refused };
+    let mut simulation = Simulation::new(vec![refusing; 4]);
+    simulation.repeatable = false;
+    simulation.offer(400, 5_000);
+    report += &simulation.summary("all endpoints refuse");
+
+    expect_file!["golden/routing.txt"].assert_eq(&report);
 }
 
-/// P7: from the moment an endpoint is known to leave it gets nothing, not even what
-/// waited.
+/// P7: an endpoint that is known to be leaving receives no requests, not even queued ones.
 #[test]
-fn a_leaving_endpoint_gets_nothing() {
-    let mut bench = Bench::new(vec![GOOD; 2]);
-    bench.offer(3_000, 500);
-    bench.publish(2, &[0]);
-    let before = bench.sends_to[&0];
-    bench.offer(3_000, 2_000);
-    assert_eq!(bench.sends_to[&0], before);
-    bench.publish(3, &[]);
-    bench.offer(3_000, 500);
-    assert!(bench.sends_to[&0] > before, "it gets requests again when it stays after all");
+fn leaving_endpoint_receives_no_requests() {
+    let mut simulation = Simulation::new(vec![HEALTHY; 2]);
+    simulation.offer(3_000, 500);
+    simulation.publish(2, &[0]);
+    let before = simulation.sends_to[&0];
+    simulation.offer(3_000, 2_000);
+    assert_eq!(simulation.sends_to[&0], before);
+    simulation.publish(3, &[]);
+    simulation.offer(3_000, 500);
+    assert!(simulation.sends_to[&0] > before, "receives requests again once it stays");
 }
 
-/// The shares of all boxes add up to an endpoint's slots.
 #[test]
-fn shares_add_up() {
+fn shares_of_all_boxes_sum_to_the_slots() {
     for boxes in 1..=8u32 {
-        let mut bench = Bench::new(vec![GOOD; 5]);
+        let mut simulation = Simulation::new(vec![HEALTHY; 5]);
         let mut sums = [0.0; 5];
-        for place in 0..boxes {
-            bench.router.set_boxes(boxes, place);
+        for box_index in 0..boxes {
+            simulation.router.set_boxes(boxes, box_index);
             for (number, sum) in sums.iter_mut().enumerate() {
-                *sum += bench.router.endpoint(EndpointId(number)).share();
+                *sum += simulation.router.endpoint(EndpointId(number)).share();
             }
         }
         assert_eq!(sums, [f64::from(SLOTS); 5], "{boxes} boxes");
     }
 }
 
-/// An older word about endpoints never replaces a newer one.
+/// An endpoint set that arrives late must not replace a newer one.
 #[test]
-fn an_older_set_is_ignored() {
-    let mut bench = Bench::new(vec![GOOD; 2]);
-    bench.publish(5, &[0]);
-    bench.publish(4, &[]);
-    bench.offer(100, 1_000);
-    assert_eq!(bench.sends_to.get(&0), None);
+fn older_endpoint_set_is_ignored() {
+    let mut simulation = Simulation::new(vec![HEALTHY; 2]);
+    simulation.publish(5, &[0]);
+    simulation.publish(4, &[]);
+    simulation.offer(100, 1_000);
+    assert_eq!(simulation.sends_to.get(&0), None);
 }
