--- a/crates/kitetrail-core/src/routing/endpoint.rs
+++ b/crates/kitetrail-core/src/routing/endpoint.rs
@@ -110,17 +110,17 @@
     }
 
     /// Records that a request was sent.
-    pub fn note_sent(&mut self) {
+    pub fn record_sent(&mut self) {
         self.outstanding += 1;
     }
 
     /// Records that an exchange is over, with any result.
-    pub fn note_finished(&mut self) {
+    pub fn record_finished(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 
     /// Records a successful answer. The limit grows while it is used up and latency is low.
-    pub fn note_success(&mut self, latency: Duration, ceiling: f64, now: Time) {
+    pub fn record_success(&mut self, latency: Duration, ceiling: f64, now: Time) {
         self.failures = 0;
         if self.ejected_until.take().is_some() {
             self.limit = self.share;
@@ -143,12 +143,12 @@
     }
 
     /// Records that the endpoint refused a request.
-    pub fn note_refusal(&mut self, now: Time) {
+    pub fn record_refusal(&mut self, now: Time) {
         self.back_off(now);
     }
 
     /// Records a failure. Returns whether the endpoint should be ejected.
-    pub fn note_failure(&mut self, settings: &RouterSettings, now: Time) -> bool {
+    pub fn record_failure(&mut self, settings: &RouterSettings, now: Time) -> bool {
         self.failures += 1;
         self.failures >= settings.eject_after_failures || self.is_probing(now)
     }
--- a/crates/kitetrail-core/src/routing/queue.rs
+++ b/crates/kitetrail-core/src/routing/queue.rs
@@ -7,7 +7,7 @@
 
 /// A queued request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Waiting {
+pub(super) struct QueuedRequest {
     /// The request.
     pub number: RequestNumber,
     /// The time until which the request may wait.
@@ -17,7 +17,7 @@
 /// A queue ordered by rank, then by arrival. Its users bound its length.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    waiting: BTreeMap<Position, Waiting>,
+    waiting: BTreeMap<Position, QueuedRequest>,
     arrivals: u64,
 }
 
@@ -45,25 +45,25 @@
     }
 
     /// Adds a request behind all others of its rank.
-    pub fn push(&mut self, rank: u8, waiting: Waiting) {
+    pub fn push(&mut self, rank: u8, waiting: QueuedRequest) {
         self.arrivals += 1;
         self.waiting.insert((Reverse(rank), self.arrivals), waiting);
     }
 
     /// Removes and returns the most important request.
-    pub fn pop(&mut self) -> Option<Waiting> {
+    pub fn pop(&mut self) -> Option<QueuedRequest> {
         self.waiting.pop_first().map(|(_, waiting)| waiting)
     }
 
     /// Removes and returns the least important request if its rank is below `rank`.
-    pub fn pop_below(&mut self, rank: u8) -> Option<Waiting> {
+    pub fn pop_below(&mut self, rank: u8) -> Option<QueuedRequest> {
         let entry = self.waiting.last_entry()?;
         let Reverse(lowest) = entry.key().0;
         (lowest < rank).then(|| entry.remove())
     }
 
     /// Removes and returns every request whose wait is over.
-    pub fn expire(&mut self, now: Time) -> Vec<Waiting> {
+    pub fn expire(&mut self, now: Time) -> Vec<QueuedRequest> {
         let expired: Vec<Position> = self
             .waiting
             .iter()
--- a/crates/kitetrail-core/src/routing/retry_budget.rs
+++ b/crates/kitetrail-core/src/routing/retry_budget.rs
@@ -19,7 +19,7 @@
     }
 
     /// Records that a request was sent for the first time.
-    pub fn note_first_send(&mut self) {
+    pub fn record_first_send(&mut self) {
         self.balance = (self.balance + self.percent).min(MAX_BALANCE * RETRY_COST);
     }
 
--- a/crates/kitetrail-core/src/routing/router.rs
+++ b/crates/kitetrail-core/src/routing/router.rs
@@ -14,7 +14,7 @@
 
 use super::{
     Arrival, Balancer, EndpointId, EndpointState, Exchange, GivenUp, Outcome, Reason,
-    RequestNumber, RouterSettings, Verdict, queue::Waiting, service::Service,
+    RequestNumber, RouterSettings, Verdict, queue::QueuedRequest, service::Service,
 };
 use crate::{
     Epoch, ShardId, SpecName, Time, WorkerId,
@@ -112,8 +112,8 @@
             .iter()
             .map(|(name, service)| ServiceView {
                 service: name.clone(),
-                endpoints: service.endpoints(),
-                ejected: self.ejected(service, now),
+                endpoints: service.endpoint_count(),
+                ejected: self.ejected_count(service, now),
                 queued: service.queue.len(),
                 outstanding: service.outstanding,
             })
@@ -138,7 +138,7 @@
         let Some(service) = self.services.get(&arrival.service) else {
             return no_endpoint();
         };
-        if service.endpoints() == 0 {
+        if service.endpoint_count() == 0 {
             return no_endpoint();
         }
         if arrival.deadline <= now {
@@ -167,7 +167,7 @@
         let latency = now.since(request.sent_at);
         request.may_have_run |= exchange == Exchange::Lost;
         let service_name = request.arrival.service.clone();
-        self.note_exchange(&service_name, endpoint, exchange, latency, now);
+        self.record_exchange(&service_name, endpoint, exchange, latency, now);
         match exchange {
             Exchange::Answered | Exchange::Failed => {
                 self.requests.remove(&number);
@@ -201,7 +201,7 @@
         let name = &request.arrival.service;
         if let Some(endpoint) = endpoint {
             let latency = now.since(request.sent_at);
-            self.note_exchange(name, endpoint, exchange, latency, now);
+            self.record_exchange(name, endpoint, exchange, latency, now);
         }
         let Some(service) = self.services.get_mut(name) else { return NO_ENDPOINT_RETRY };
         service.queue.remove(number);
@@ -221,7 +221,7 @@
             while let Some(endpoint) = self.pick(&name, &[], now) {
                 let Some(service) = self.services.get_mut(&name) else { break };
                 let Some(waiting) = service.queue.pop() else { break };
-                self.note_send(waiting.number, endpoint, now);
+                self.record_send(waiting.number, endpoint, now);
                 ready.push((waiting.number, endpoint));
             }
         }
@@ -234,7 +234,7 @@
         for service in self.services.values_mut() {
             service.update_rate(now);
             for waiting in service.queue.expire(now) {
-                service.note_refused(now);
+                service.record_rejection(now);
                 given_up.push((waiting.number, service.retry_after()));
             }
         }
@@ -246,7 +246,7 @@
                     true => Reason::Deadline,
                     false => Reason::Overload,
                 };
-                Some((number, request.give_up(reason, retry_after)))
+                Some((number, request.reject(reason, retry_after)))
             })
             .collect()
     }
@@ -255,7 +255,7 @@
     fn displace(&mut self, service: &SpecName, rank: u8, now: Time) -> Option<RequestNumber> {
         let service = self.services.get_mut(service)?;
         let displaced = service.queue.pop_below(rank)?;
-        service.note_refused(now);
+        service.record_rejection(now);
         Some(displaced.number)
     }
 
@@ -269,7 +269,7 @@
                 !service.queue.is_empty() && service.queue.ahead_of(arrival.rank) > 0
             });
         if !must_queue && let Some(endpoint) = self.pick(&arrival.service, &tried, now) {
-            self.note_send(number, endpoint, now);
+            self.record_send(number, endpoint, now);
             return Verdict::Send(endpoint);
         }
         self.enqueue(&arrival, now)
@@ -278,22 +278,22 @@
     fn enqueue(&mut self, arrival: &Arrival, now: Time) -> Verdict {
         let settings = &self.settings;
         let Some(service) = self.services.get_mut(&arrival.service) else {
-            return self.give_up(arrival.number, Reason::NoEndpoint, now);
+            return self.reject(arrival.number, Reason::NoEndpoint, now);
         };
         let allowed = service.allowed_wait(settings.max_queue_wait);
         let wait = service.expected_wait(service.queue.ahead_of(arrival.rank));
         let left = arrival.deadline.since(now);
         if wait > left.min(allowed) {
-            return self.give_up(arrival.number, Reason::Overload, now);
+            return self.reject(arrival.number, Reason::Overload, now);
         }
         let wait_deadline = (now + allowed).min(arrival.deadline);
         let full = service.queue.len() >= settings.max_queued;
-        service.queue.push(arrival.rank, Waiting { number: arrival.number, wait_deadline });
+        service.queue.push(arrival.rank, QueuedRequest { number: arrival.number, wait_deadline });
         if !full {
             return Verdict::Wait;
         }
         match self.displace(&arrival.service, u8::MAX, now) {
-            Some(number) if number == arrival.number => self.give_up(number, Reason::Overload, now),
+            Some(number) if number == arrival.number => self.reject(number, Reason::Overload, now),
             Some(number) => {
                 self.expire_now(number, arrival, now);
                 Verdict::Wait
@@ -304,9 +304,9 @@
 
     /// Queues a displaced request again with an expired wait, so that the next
     /// [`Router::expire`] answers it.
-    fn expire_now(&mut self, number: RequestNumber, by: &Arrival, now: Time) {
-        if let Some(service) = self.services.get_mut(&by.service) {
-            service.queue.push(0, Waiting { number, wait_deadline: now });
+    fn expire_now(&mut self, number: RequestNumber, arrival: &Arrival, now: Time) {
+        if let Some(service) = self.services.get_mut(&arrival.service) {
+            service.queue.push(0, QueuedRequest { number, wait_deadline: now });
         }
     }
 
@@ -320,22 +320,22 @@
         let service = self.services.get_mut(&arrival.service);
         let try_withdraw_retry = || service.is_some_and(|service| service.budget.try_withdraw());
         match safe && sends_left {
-            true if !before_deadline => self.give_up(number, Reason::Deadline, now),
+            true if !before_deadline => self.reject(number, Reason::Deadline, now),
             true if try_withdraw_retry() => self.admit(number, now),
-            _ => self.give_up(number, reason, now),
+            _ => self.reject(number, reason, now),
         }
     }
 
-    fn give_up(&mut self, number: RequestNumber, reason: Reason, now: Time) -> Verdict {
+    fn reject(&mut self, number: RequestNumber, reason: Reason, now: Time) -> Verdict {
         let Some(request) = self.requests.remove(&number) else { return no_endpoint() };
         let retry_after = match self.services.get_mut(&request.arrival.service) {
             Some(service) => {
-                service.note_refused(now);
+                service.record_rejection(now);
                 service.retry_after()
             }
             None => NO_ENDPOINT_RETRY,
         };
-        Verdict::GiveUp(request.give_up(reason, retry_after))
+        Verdict::GiveUp(request.reject(reason, retry_after))
     }
 
     /// Chooses an endpoint with capacity. Endpoints in this box's availability zone are
@@ -371,21 +371,21 @@
         }
     }
 
-    fn note_send(&mut self, number: RequestNumber, endpoint: EndpointId, now: Time) {
+    fn record_send(&mut self, number: RequestNumber, endpoint: EndpointId, now: Time) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         request.sends += 1;
         request.sent_at = now;
         request.tried.push(endpoint);
-        self.endpoints[endpoint.0].note_sent();
+        self.endpoints[endpoint.0].record_sent();
         if let Some(service) = self.services.get_mut(&request.arrival.service) {
             service.outstanding += 1;
             if request.sends == 1 {
-                service.budget.note_first_send();
+                service.budget.record_first_send();
             }
         }
     }
 
-    fn note_exchange(
+    fn record_exchange(
         &mut self,
         name: &SpecName,
         endpoint: EndpointId,
@@ -395,25 +395,25 @@
     ) {
         let ceiling = f64::from(self.connection_share());
         let state = &mut self.endpoints[endpoint.0];
-        state.note_finished();
+        state.record_finished();
         let eject = match exchange {
             Exchange::Answered => {
-                state.note_success(latency, ceiling, now);
+                state.record_success(latency, ceiling, now);
                 false
             }
             Exchange::Refused => {
-                state.note_refusal(now);
+                state.record_refusal(now);
                 false
             }
             Exchange::CallerGone => false,
             Exchange::Failed | Exchange::NotSent | Exchange::Lost => {
-                state.note_failure(&self.settings, now)
+                state.record_failure(&self.settings, now)
             }
         };
         let Some(service) = self.services.get_mut(name) else { return };
         service.outstanding = service.outstanding.saturating_sub(1);
         if matches!(exchange, Exchange::Answered | Exchange::Failed) {
-            service.note_answer(now);
+            service.record_answer(now);
         }
         if eject && self.settings.limits {
             self.eject(name, endpoint, now);
@@ -423,20 +423,20 @@
     /// Ejects an endpoint unless too many endpoints of the service are already ejected.
     fn eject(&mut self, name: &SpecName, endpoint: EndpointId, now: Time) {
         let Some(service) = self.services.get(name) else { return };
-        let allowed = service.endpoints() * self.settings.max_ejected_percent / 100;
-        if self.ejected(service, now) < allowed {
+        let allowed = service.endpoint_count() * self.settings.max_ejected_percent / 100;
+        if self.ejected_count(service, now) < allowed {
             self.endpoints[endpoint.0].eject(&self.settings, now);
         }
     }
 
-    fn ejected(&self, service: &Service, now: Time) -> usize {
+    fn ejected_count(&self, service: &Service, now: Time) -> usize {
         let all = service.local.iter().chain(&service.remote);
         all.filter(|id| self.endpoints[id.0].is_ejected(now)).count()
     }
 }
 
 impl Request {
-    fn give_up(&self, reason: Reason, retry_after: Duration) -> GivenUp {
+    fn reject(&self, reason: Reason, retry_after: Duration) -> GivenUp {
         let outcome = if self.may_have_run { Outcome::Unknown } else { Outcome::NotRun };
         GivenUp { outcome, reason, retry_after }
     }
--- a/crates/kitetrail-core/src/routing/service.rs
+++ b/crates/kitetrail-core/src/routing/service.rs
@@ -34,7 +34,7 @@
     answers_per_s: f64,
     rate_updated_at: Time,
     answered: u32,
-    refused: u32,
+    rejected: u32,
 }
 
 impl Service {
@@ -50,12 +50,12 @@
             answers_per_s: 0.0,
             rate_updated_at: now,
             answered: 0,
-            refused: 0,
+            rejected: 0,
         }
     }
 
     /// Returns the number of endpoints.
-    pub fn endpoints(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         self.local.len() + self.remote.len()
     }
 
@@ -76,20 +76,20 @@
     /// Returns the time after which a request that is rejected now should be retried: once the
     /// queue has been served, and later the more requests are rejected.
     pub fn retry_after(&self) -> Duration {
-        let pressure = f64::from(self.refused) / f64::from(self.answered.max(1));
+        let pressure = f64::from(self.rejected) / f64::from(self.answered.max(1));
         let wait = self.expected_wait(self.queue.len()).as_secs_f64() + pressure.min(30.0);
         Duration::from_secs_f64(wait).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
     /// Records an answer.
-    pub fn note_answer(&mut self, now: Time) {
+    pub fn record_answer(&mut self, now: Time) {
         self.answered += 1;
         self.update_rate(now);
     }
 
     /// Records a rejected request.
-    pub fn note_refused(&mut self, now: Time) {
-        self.refused += 1;
+    pub fn record_rejection(&mut self, now: Time) {
+        self.rejected += 1;
         self.update_rate(now);
     }
 
@@ -105,8 +105,8 @@
         self.rate_updated_at = now;
         let (begins, ends) = OVERLOAD_PERCENT;
         let threshold = if self.overloaded { ends } else { begins };
-        self.overloaded = self.refused * 100 > (self.answered + self.refused) * threshold;
+        self.overloaded = self.rejected * 100 > (self.answered + self.rejected) * threshold;
         self.answered = 0;
-        self.refused = 0;
+        self.rejected = 0;
     }
 }
--- a/crates/kitetrail-core/src/shard/event.rs
+++ b/crates/kitetrail-core/src/shard/event.rs
@@ -153,7 +153,7 @@
         /// The worker.
         worker: WorkerId,
         /// The duration of the quarantine, in milliseconds.
-        rest_ms: u64,
+        duration_ms: u64,
     },
     /// The table does not answer. Running work is kept; nothing new is placed.
     Detached,
@@ -210,8 +210,11 @@
                 write!(f, "asked {worker} to {want} {task}: {reason}")
             }
             Decision::Ended { task, ending } => write!(f, "ended {task}: {ending}"),
-            Decision::Quarantined { worker, rest_ms } => {
-                write!(f, "rests {worker} for {rest_ms} ms: tasks of several specs failed on it")
+            Decision::Quarantined { worker, duration_ms } => {
+                write!(
+                    f,
+                    "rests {worker} for {duration_ms} ms: tasks of several specs failed on it"
+                )
             }
             Decision::Detached => {
                 f.write_str("table unreachable: keeping running tasks, placing none")
--- a/crates/kitetrail-core/src/shard/ledger.rs
+++ b/crates/kitetrail-core/src/shard/ledger.rs
@@ -26,8 +26,9 @@
     pub lease_until_ms: u64,
     /// The time until which a replaced replica may finish its requests.
     pub drain_until: Option<Time>,
-    /// The sequence number of the first request that ordered the run, once one was sent.
-    pub first_ordered_in: Option<u64>,
+    /// The sequence number of the first request that ordered the run, if one was sent, or zero if
+    /// the worker reported the run first.
+    pub first_order_sequence: Option<u64>,
     /// Whether the worker reported the run as running.
     pub running: bool,
     /// Whether the worker replied again after it had reported the run as running.
@@ -47,7 +48,7 @@
             want: Want::Run,
             lease_until_ms: 0,
             drain_until: None,
-            first_ordered_in: None,
+            first_order_sequence: None,
             running: false,
             confirmed_running: false,
             unsaved_ms: 0,
@@ -64,7 +65,7 @@
             want: Want::Stop,
             lease_until_ms: 0,
             drain_until: None,
-            first_ordered_in: Some(0),
+            first_order_sequence: Some(0),
             running: true,
             confirmed_running: false,
             unsaved_ms: 0,
@@ -147,7 +148,7 @@
     }
 
     /// Records a reply of the worker process with the given boot number.
-    pub fn note_answer(&mut self, boot: u64) {
+    pub fn record_answer(&mut self, boot: u64) {
         for grant in self.grants.values_mut().filter(|grant| grant.boot == boot) {
             grant.confirmed_running |= grant.running;
         }
--- a/crates/kitetrail-core/src/shard/owner.rs
+++ b/crates/kitetrail-core/src/shard/owner.rs
@@ -27,7 +27,7 @@
 
 /// The time that a replaced replica has to finish its requests.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
-/// The time that a new owner waits for the first replies of its workers.
+/// The longest time that a new owner waits for the first replies of its workers.
 const WARM_UP: Duration = Duration::from_secs(1);
 /// The largest number of queued tasks that one step tries to place.
 const MAX_EXAMINED_PER_STEP: usize = 512;
@@ -99,6 +99,7 @@
     ended_tasks: BTreeSet<(u64, TaskId)>,
 }
 
+/// The position of a task in the queue: by priority and rank, highest first, then by id.
 type QueueKey = (Reverse<(u8, u8)>, TaskId);
 
 #[derive(Debug, Default)]
@@ -138,7 +139,7 @@
 impl CrashEvidence {
     /// Returns the evidence from a run that is lost with its worker.
     fn of(grant: &Grant) -> Self {
-        match grant.first_ordered_in {
+        match grant.first_order_sequence {
             _ if grant.confirmed_running => Self::Refuted,
             Some(_) => Self::Suspected,
             None => Self::Unknown,
@@ -268,7 +269,7 @@
         });
     }
 
-    /// Updates the time of day and removes the rows of tasks that ended before the retention time.
+    /// Updates the time of day and removes the rows of ended tasks whose retention time is over.
     pub fn set_unix_time(&mut self, unix_ms: u64, settings: &ShardSettings) {
         if self.unix_ms == 0 {
             let undated = std::mem::take(&mut self.ended_tasks);
--- a/crates/kitetrail-core/src/shard/owner/place.rs
+++ b/crates/kitetrail-core/src/shard/owner/place.rs
@@ -78,6 +78,8 @@
         usage
     }
 
+    /// Returns a worker for a task, with the boot number of its process and the reason for the
+    /// choice.
     pub(super) fn choose<P: Placer>(
         &self,
         row: &TaskRow,
@@ -238,6 +240,8 @@
     state.ledger.count_of(service) > 0
 }
 
+/// Returns the cost of evicting tasks from a worker until the task of `row` fits, and the tasks
+/// to evict. Returns `None` if eviction can't free enough resources or none is needed.
 fn preemption_victims<P: Placer>(
     row: &TaskRow,
     state: &WorkerState,
--- a/crates/kitetrail-core/src/shard/owner/reply.rs
+++ b/crates/kitetrail-core/src/shard/owner/reply.rs
@@ -36,7 +36,7 @@
         if !state.accept_reply(&reply, settings, now) {
             return;
         }
-        state.ledger.note_answer(reply.boot);
+        state.ledger.record_answer(reply.boot);
         if first_reply {
             state.next_sync = now;
         }
@@ -68,9 +68,11 @@
         for ((task, attempt), grant) in state.ledger.iter() {
             let reported =
                 tasks.iter().any(|report| report.task == *task && report.attempt == *attempt);
-            let reason = match grant.first_ordered_in {
+            let reason = match grant.first_order_sequence {
                 _ if grant.boot != reply.boot => RequeueReason::WorkerRestarted,
-                Some(first_ordered_in) if !reported && first_ordered_in <= reply.sequence => {
+                Some(first_order_sequence)
+                    if !reported && first_order_sequence <= reply.sequence =>
+                {
                     RequeueReason::NotRunning
                 }
                 _ => continue,
@@ -101,7 +103,7 @@
         let end = match (report.phase, grant) {
             (Phase::Running, Some(grant)) => {
                 grant.running = true;
-                grant.first_ordered_in.get_or_insert(0);
+                grant.first_order_sequence.get_or_insert(0);
                 grant.unsaved_ms = report.progress_ms.saturating_sub(report.checkpoint_ms);
                 return None;
             }
@@ -210,11 +212,11 @@
         let allowed = self.workers.len() * settings.quarantine_share_percent as usize / 100;
         let Some(state) = self.workers.get_mut(worker) else { return };
         match end {
-            RunEnd::Done => return state.note_success(),
+            RunEnd::Done => return state.record_success(),
             RunEnd::Stopped(_) => return,
             RunEnd::Failed => {}
         }
-        let quarantine = state.note_failure(&task.spec, settings, now);
+        let quarantine = state.record_failure(&task.spec, settings, now);
         if let Some(row) = self.rows.get_mut(task)
             && !row.failed_on.contains(worker)
         {
@@ -224,12 +226,12 @@
         if quarantined >= allowed {
             return state.end_quarantine();
         }
-        let rest_ms = quarantine.as_millis() as u64;
+        let duration_ms = quarantine.as_millis() as u64;
         let worker = worker.clone();
         for row in self.rows.values_mut().filter(|row| !row.is_ended()) {
             row.failed_on.retain(|other| *other != worker);
         }
-        actions.push(Action::Log(Decision::Quarantined { worker, rest_ms }));
+        actions.push(Action::Log(Decision::Quarantined { worker, duration_ms }));
     }
 
     pub(super) fn finish(&mut self, task: &TaskId, ending: Ending, actions: &mut Vec<Action>) {
--- a/crates/kitetrail-core/src/shard/owner/speak.rs
+++ b/crates/kitetrail-core/src/shard/owner/speak.rs
@@ -71,7 +71,7 @@
             if !wanted {
                 continue;
             }
-            grant.first_ordered_in.get_or_insert(request.sequence);
+            grant.first_order_sequence.get_or_insert(request.sequence);
             let renew = !grant.kind.is_exclusive() || renew_exclusive;
             if renew {
                 grant.lease_until_ms = lease_until_ms;
--- a/crates/kitetrail-core/src/shard/worker_state.rs
+++ b/crates/kitetrail-core/src/shard/worker_state.rs
@@ -46,11 +46,11 @@
     pub unsettled: Vec<(TaskId, Attempt)>,
     sequence_sent: u64,
     sequence_seen: u64,
-    /// The latest list of orders, without lease times. `list` holds its number.
+    /// The latest list of orders, without lease times.
     orders: Vec<Order>,
-    list: u64,
+    list_number: u64,
     /// The number of the list that the worker follows.
-    acknowledged_list: u64,
+    acknowledged_list_number: u64,
     failed_specs: BTreeSet<SpecName>,
     quarantines: u32,
     quarantined_until: Option<Time>,
@@ -71,8 +71,8 @@
             sequence_sent: 0,
             sequence_seen: 0,
             orders: Vec::new(),
-            list: 0,
-            acknowledged_list: 0,
+            list_number: 0,
+            acknowledged_list_number: 0,
             failed_specs: BTreeSet::new(),
             quarantines: 0,
             quarantined_until: None,
@@ -123,16 +123,17 @@
     pub fn encode_orders(&mut self, orders: Vec<Order>, renewal: Option<u64>) -> Wants {
         let without_lease = |order: &Order| Order { lease_until_ms: 0, ..order.clone() };
         let without_leases: Vec<Order> = orders.iter().map(without_lease).collect();
-        let list_is_current =
-            self.list > 0 && self.acknowledged_list == self.list && without_leases == self.orders;
+        let list_is_current = self.list_number > 0
+            && self.acknowledged_list_number == self.list_number
+            && without_leases == self.orders;
         match renewal {
             Some(lease_until_ms) if list_is_current => {
-                Wants::Renew { list: self.list, lease_until_ms }
+                Wants::Renew { list: self.list_number, lease_until_ms }
             }
             _ => {
-                self.list += 1;
+                self.list_number += 1;
                 self.orders = without_leases;
-                Wants::Orders { list: self.list, orders }
+                Wants::Orders { list: self.list_number, orders }
             }
         }
     }
@@ -146,7 +147,7 @@
             return false;
         }
         self.sequence_seen = reply.sequence;
-        self.acknowledged_list = reply.list;
+        self.acknowledged_list_number = reply.list;
         self.last_reply =
             Some(LastReply { boot: reply.boot, clock_ms: reply.clock_ms, received_at: now });
         self.leases_end_at = now + settings.task_lease_bound();
@@ -155,7 +156,7 @@
 
     /// Records that a run failed. Returns the duration of the quarantine if the worker should
     /// be quarantined.
-    pub fn note_failure(
+    pub fn record_failure(
         &mut self,
         spec: &SpecName,
         settings: &ShardSettings,
@@ -174,7 +175,7 @@
     }
 
     /// Records that a run succeeded.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         self.failed_specs.clear();
         self.quarantines = 0;
     }
