--- a/crates/kitetrail-core/src/routing/service.rs
+++ b/crates/kitetrail-core/src/routing/service.rs
@@ -11,9 +11,9 @@
 const OVERLOADED_WAIT_DIVISOR: u32 = 8;
 /// The percentages of rejected requests above which overload begins and up to which it ends.
 const OVERLOAD_PERCENT: (u32, u32) = (10, 2);
-/// The shortest time after which a caller is told to retry.
+/// The shortest time after which a caller is asked to retry.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// The longest time after which a caller is told to retry.
+/// The longest time after which a caller is asked to retry.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// The requests and endpoints of one service, as far as this box knows them.
