--- a/crates/kitetrail-core/src/routing/request.rs
+++ b/crates/kitetrail-core/src/routing/request.rs
@@ -113,5 +113,5 @@
     /// The request may have run, but no complete answer arrived.
     Lost,
     /// The caller disconnected, which shows nothing about the endpoint.
-    CallerGone,
+    CallerDisconnected,
 }
--- a/crates/kitetrail-core/src/routing/router.rs
+++ b/crates/kitetrail-core/src/routing/router.rs
@@ -174,7 +174,7 @@
                 Verdict::Deliver
             }
             Exchange::Refused | Exchange::NotSent => self.resend(number, Reason::Refused, now),
-            Exchange::Lost | Exchange::CallerGone => self.resend(number, Reason::Lost, now),
+            Exchange::Lost | Exchange::CallerDisconnected => self.resend(number, Reason::Lost, now),
         }
     }
 
@@ -186,7 +186,7 @@
 
     /// Drops a request whose caller disconnected.
     pub fn abandon(&mut self, number: RequestNumber, endpoint: Option<EndpointId>, now: Time) {
-        self.drop_request(number, endpoint, Exchange::CallerGone, now);
+        self.drop_request(number, endpoint, Exchange::CallerDisconnected, now);
     }
 
     /// Removes a request. Returns the time after which a similar request should be retried.
@@ -405,7 +405,7 @@
                 state.record_refusal(now);
                 false
             }
-            Exchange::CallerGone => false,
+            Exchange::CallerDisconnected => false,
             Exchange::Failed | Exchange::NotSent | Exchange::Lost => {
                 state.record_failure(&self.settings, now)
             }
--- a/crates/kitetrail-core/src/shard/event.rs
+++ b/crates/kitetrail-core/src/shard/event.rs
@@ -173,7 +173,7 @@
     /// The worker does not reply and the lease has certainly expired.
     LeaseExpired,
     /// The worker does not reply; a replacement of the replica is started elsewhere.
-    WorkerSilent,
+    WorkerUnresponsive,
     /// The worker did not start the task, or stopped it without an order.
     NotRunning,
     /// The run completed, and tasks of this kind are started again.
@@ -187,7 +187,7 @@
             RequeueReason::Failed => "run failed",
             RequeueReason::WorkerRestarted => "worker restarted",
             RequeueReason::LeaseExpired => "lease lapsed",
-            RequeueReason::WorkerSilent => "worker silent",
+            RequeueReason::WorkerUnresponsive => "worker silent",
             RequeueReason::NotRunning => "worker does not run it",
             RequeueReason::Restarted => "kept running",
         })
--- a/crates/kitetrail-core/src/shard/owner/relieve.rs
+++ b/crates/kitetrail-core/src/shard/owner/relieve.rs
@@ -48,7 +48,7 @@
             self.end_run(&ended, settings, placer, now, actions);
         }
         for task in replaced {
-            self.requeue(&task, RequeueReason::WorkerSilent, placer, actions);
+            self.requeue(&task, RequeueReason::WorkerUnresponsive, placer, actions);
         }
     }
 
