--- a/crates/kitetrail-core/src/jobs/names.rs
+++ b/crates/kitetrail-core/src/jobs/names.rs
@@ -49,7 +49,7 @@
         let number = if is_well_formed { u64::from_str_radix(s, 16).ok() } else { None };
         number.map(Self).ok_or_else(|| InvalidName {
             text: s.chars().take(MAX_SHOWN_JOB_ID_CHARS).collect(),
-            expected: "a job id: expected 16 lower-case hexadecimal digits",
+            expected: "a job's id: write 16 lower-case hexadecimal digits",
         })
     }
 }
@@ -94,7 +94,7 @@
     fn from_str(s: &str) -> Result<Self, InvalidName> {
         let invalid = || InvalidName {
             text: s.chars().take(MAX_SHOWN_TASK_NAME_CHARS).collect(),
-            expected: "a task name: expected job.occurrence.step.index",
+            expected: "a task's name: write job.occurrence.step.index",
         };
         let mut parts = s.split('.');
         let job = parts.next().ok_or_else(invalid)?.parse().map_err(|_| invalid())?;
@@ -195,7 +195,7 @@
     fn from_str(s: &str) -> Result<Self, InvalidName> {
         s.parse().map(Self).map_err(|_| InvalidName {
             text: s.chars().take(MAX_SHOWN_INCARNATION_CHARS).collect(),
-            expected: "an incarnation: expected milliseconds since 1970 as a whole number",
+            expected: "an incarnation: write milliseconds since 1970 as a whole number",
         })
     }
 }
--- a/crates/kitetrail-core/src/jobs/spec.rs
+++ b/crates/kitetrail-core/src/jobs/spec.rs
@@ -41,7 +41,7 @@
     #[error("a job has at most {MAX_TASKS} tasks, this one has {0}")]
     TooManyTasks(u64),
     /// The payload is too long.
-    #[error("a payload has at most {MAX_PAYLOAD_BYTES} bytes, this one has {0}")]
+    #[error("the payload has {0} bytes, at most {MAX_PAYLOAD_BYTES} are kept")]
     PayloadTooLong(usize),
     /// A step depends on a step that does not exist.
     #[error("step {step} depends on step {dependency}, which does not exist")]
@@ -52,18 +52,16 @@
         dependency: u32,
     },
     /// The dependencies of the steps form a cycle.
-    #[error("step {0} can never start: its dependencies contain a cycle")]
+    #[error("step {0} waits for itself, over its dependencies")]
     DependencyCycle(usize),
     /// The schedule has too many tasks over all its occurrences.
-    #[error(
-        "a schedule has at most {MAX_SCHEDULED_TASKS} tasks over all occurrences, this one has {0}"
-    )]
+    #[error("a schedule has at most {MAX_SCHEDULED_TASKS} tasks over all its times, not {0}")]
     TooManyScheduledTasks(u64),
     /// The stored job would be too large.
-    #[error("a stored job has at most {MAX_JOB_BYTES} bytes, this one has {0}: split the job")]
+    #[error("a job takes at most {MAX_JOB_BYTES} bytes as it is kept, this one {0}: split it")]
     TooLong(usize),
     /// The schedule has too many occurrences.
-    #[error("a schedule has at most {MAX_OCCURRENCES} occurrences, this one has {0}")]
+    #[error("a schedule has at most {MAX_OCCURRENCES} times, this one has {0}")]
     TooManyOccurrences(u32),
 }
 
--- a/crates/kitetraild/src/control/operations.rs
+++ b/crates/kitetraild/src/control/operations.rs
@@ -137,7 +137,7 @@
     pub async fn configure(&self, new: NewConfiguration) -> Result<Revision, OperatorError> {
         check_change_id(&new.change)?;
         Program::compile(&new.configuration.policy)
-            .map_err(|error| invalid(format!("the policy is invalid: {error}")))?;
+            .map_err(|error| invalid(format!("the policy is wrong: {error}")))?;
         let head = self.table.read(&Key::config_head()).await.map_err(unavailable)?;
         let (version, number) = match &head {
             Some(Row { version, record: Record::ConfigHead { revision }, .. }) => {
--- a/crates/kitetraild/src/control/state/answers.rs
+++ b/crates/kitetraild/src/control/state/answers.rs
@@ -27,12 +27,12 @@
                 let _ = reply.send(Ok(self.status(now)));
             }
             OperatorRequest::Boxes(reply) => {
-                let message = "the box list has not been read yet; try again".to_owned();
+                let message = "the box list was not read yet; try again".to_owned();
                 let fleet = self.fleet.clone();
                 let _ = reply.send(fleet.ok_or(OperatorError::Unavailable { message }));
             }
             OperatorRequest::Configuration(reply) => {
-                let message = "no configuration has been accepted yet".to_owned();
+                let message = "no configuration was accepted yet".to_owned();
                 let revision = self.configuration.revision().cloned();
                 let _ = reply.send(revision.ok_or(OperatorError::NotFound { message }));
             }
--- a/crates/kitetraild/src/fleet/front.rs
+++ b/crates/kitetraild/src/fleet/front.rs
@@ -111,10 +111,7 @@
 ) -> Response<Body> {
     let started = Instant::now();
     let Some(config) = shared.config() else {
-        return error_response(
-            StatusCode::SERVICE_UNAVAILABLE,
-            "this box has no configuration yet",
-        );
+        return error_response(StatusCode::SERVICE_UNAVAILABLE, "no configuration is known yet");
     };
     let (operation, response) = dispatch(shared, &config, request, limits, started).await;
     let latency_ms = started.elapsed().as_secs_f64() * 1_000.0;
@@ -138,23 +135,20 @@
             host = host, path = path, config = config.version;
             "front: no queue matches the request"
         );
-        return (
-            "no-queue",
-            error_response(StatusCode::NOT_FOUND, "no queue matches this host and path"),
-        );
+        return ("no-queue", error_response(StatusCode::NOT_FOUND, "no queue answers here"));
     };
     if job_text.is_empty() {
         return match *request.method() {
             Method::GET => ("pending", pending(shared, route)),
             _ => {
-                ("bad", error_response(StatusCode::METHOD_NOT_ALLOWED, "a queue only supports GET"))
+                ("bad", error_response(StatusCode::METHOD_NOT_ALLOWED, "a queue can only be read"))
             }
         };
     }
     let Ok(job) = job_text.parse::<JobId>() else {
         return (
             "bad",
-            error_response(StatusCode::BAD_REQUEST, "a job id has 16 hexadecimal digits"),
+            error_response(StatusCode::BAD_REQUEST, "a job's id has 16 hexadecimal digits"),
         );
     };
     let deadline = limit_deadline(shared, started + call_timeout(shared, route, &request));
@@ -195,7 +189,7 @@
         }
         None => error_response(
             StatusCode::SERVICE_UNAVAILABLE,
-            "the number of waiting jobs is not known at present",
+            "nobody told of late how many jobs wait",
         ),
     }
 }
@@ -242,7 +236,7 @@
         Answer::State(state) => {
             json_response(StatusCode::OK, shared.services.codec.write_state(state))
         }
-        Answer::UnknownJob => error_response(StatusCode::GONE, "no job has this id"),
+        Answer::UnknownJob => error_response(StatusCode::GONE, "there is no such job"),
         answer => failed_call_response("state", job, answer),
     }
 }
@@ -257,7 +251,7 @@
         Answer::Cancelled => {
             json_response(StatusCode::OK, shared.services.codec.write_state(JobState::Cancelled))
         }
-        Answer::UnknownJob => error_response(StatusCode::GONE, "no job has this id"),
+        Answer::UnknownJob => error_response(StatusCode::GONE, "there is no such job"),
         answer => failed_call_response("cancel", job, answer),
     }
 }
@@ -268,15 +262,10 @@
     match answer {
         Answer::InDoubt => error_response(
             StatusCode::GATEWAY_TIMEOUT,
-            "the request may have taken effect: repeat it with the same id",
-        ),
-        Answer::Refused => {
-            refused_job_response(job, "the job was not accepted: submit it again later")
-        }
-        _ => error_response(
-            StatusCode::SERVICE_UNAVAILABLE,
-            "the request had no effect: repeat it later",
+            "it may have been done: ask again with the same id",
         ),
+        Answer::Refused => refused_job_response(job, "it was not taken: hand it in again later"),
+        _ => error_response(StatusCode::SERVICE_UNAVAILABLE, "it was not done: ask again later"),
     }
 }
 
@@ -295,9 +284,8 @@
             log::debug!("front: can't read a request body: {error}");
             Err(closing(error_response(StatusCode::BAD_REQUEST, "the body can't be read")))
         }
-        Err(_) => Err(closing(error_response(
-            StatusCode::REQUEST_TIMEOUT,
-            "the body was not received in time",
-        ))),
+        Err(_) => {
+            Err(closing(error_response(StatusCode::REQUEST_TIMEOUT, "the body came too slowly")))
+        }
     }
 }
--- a/crates/kitetraild/src/metrics.rs
+++ b/crates/kitetraild/src/metrics.rs
@@ -189,7 +189,7 @@
         let mut page = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut page) {
             Ok(()) => String::from_utf8_lossy(&page).into_owned(),
-            Err(error) => format!("# the metrics can't be encoded: {error}\n"),
+            Err(error) => format!("# the counters can't be written: {error}\n"),
         }
     }
 }
--- a/crates/kitetraild/src/operators/access.rs
+++ b/crates/kitetraild/src/operators/access.rs
@@ -40,7 +40,7 @@
     let header = request.headers().get(AUTHORIZATION).and_then(|value| value.to_str().ok());
     let bearer = header.and_then(|value| value.strip_prefix("Bearer "));
     let Some(bearer) = bearer else {
-        return Err(forbidden("a token is required: pass it with KITETRAIL_TOKEN or --token"));
+        return Err(forbidden("a token is needed: give it by KITETRAIL_TOKEN or --token"));
     };
     let digest = Digest::of(bearer);
     let Some(token) = tokens.iter().find(|token| token.sha256 == digest) else {
@@ -54,10 +54,10 @@
             Ok(Identity { name: Some(name.clone()), team: team.clone() })
         }
         (OperatorRole::ReadOnly, _, _) => {
-            Err(forbidden(&format!("{name} may read but not change anything")))
+            Err(forbidden(&format!("{name} may look but not change anything")))
         }
         (OperatorRole::Operator, RequiredAccess::Configure, Some(team)) => {
-            Err(forbidden(&format!("{name} may only change specs of team {team}")))
+            Err(forbidden(&format!("{name} may change specs of team {team} alone")))
         }
     }
 }
--- a/crates/kitetraild/src/operators/api.rs
+++ b/crates/kitetraild/src/operators/api.rs
@@ -240,7 +240,7 @@
             Ok(Ok(value)) => response.render(Json(value)),
             Ok(Err(error)) => render_error(response, &error),
             Err(_) => {
-                let message = "this daemon is stopping; try another one".to_owned();
+                let message = "this daemon is stopping; ask another one".to_owned();
                 render_error(response, &OperatorError::Unavailable { message });
             }
         }
@@ -258,8 +258,7 @@
     let invalid = |cause: String| OperatorError::Invalid { message: cause };
     let payload = request.payload_with_max_size(MAX_BODY_BYTES).await;
     let payload = payload.map_err(|error| invalid(format!("the body can't be read: {error}")))?;
-    serde_json::from_slice(payload)
-        .map_err(|error| invalid(format!("the body is invalid: {error}")))
+    serde_json::from_slice(payload).map_err(|error| invalid(format!("the body is wrong: {error}")))
 }
 
 fn kind_parameter(request: &Request) -> Result<Kind, OperatorError> {
