--- a/crates/kitetrail-platform/src/connections.rs
+++ b/crates/kitetrail-platform/src/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to hosts, replaced together once one of them went silent.
+//! Connection pools. When a connection to a host goes silent, the host gets a new pool.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -14,36 +14,38 @@
     rt::{TokioExecutor, TokioTimer},
 };
 
-/// How long an unused connection is kept.
+/// The time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// How many hosts may have a pool of their own. Beyond that all hosts begin anew in one pool, which
-/// costs each a new connection. More than the workers of the largest site.
-const MOST_POOLS: usize = 1_024;
+/// The maximum number of hosts with a pool of their own.
+///
+/// At this limit all hosts move to a new common pool, at the cost of one new connection per host. The
+/// limit exceeds the number of workers of the largest site.
+const MAX_HOST_POOLS: usize = 1_024;
 
-/// How often connections were found silent and replaced, by what they lead to.
+/// The number of times that silent connections were replaced, by service.
 #[derive(Debug, Clone, Default)]
 pub struct SilenceCounts(Arc<Mutex<BTreeMap<&'static str, u64>>>);
 
 impl SilenceCounts {
-    /// Counts a replacement.
+    /// Counts a replacement of the connections to a service.
     pub fn note(&self, service: &'static str) {
         *lock(&self.0).entry(service).or_default() += 1;
     }
 
-    /// The counts so far.
+    /// Returns the counts so far, by service.
     pub fn counts(&self) -> BTreeMap<&'static str, u64> {
         lock(&self.0).clone()
     }
 }
 
-/// A pool of connections, and which of the pools that its host had it is.
+/// A connection pool with its generation, which tells the successive pools of a host apart.
 #[derive(Debug, Clone)]
 pub(crate) struct Pool {
     pub(crate) client: Client<HttpConnector, Full<Bytes>>,
     generation: u64,
 }
 
-/// The pools of connections to all hosts of one kind.
+/// The connection pools for all hosts of one service.
 #[derive(Debug, Clone)]
 pub(crate) struct Connections {
     connect_timeout: Duration,
@@ -52,49 +54,51 @@
 
 #[derive(Debug)]
 struct Pools {
-    /// For hosts none of whose connections went silent.
+    /// The pool for hosts without a pool of their own.
     common: Pool,
-    /// For hosts with connections that did.
-    renewed: HashMap<Authority, Pool>,
-    /// How many pools there were.
-    generations: u64,
+    /// The pools of hosts that had a silent connection.
+    per_host: HashMap<Authority, Pool>,
+    /// The generation of the next pool.
+    next_generation: u64,
 }
 
 impl Connections {
     pub(crate) fn new(connect_timeout: Duration) -> Self {
-        let common = Pool { client: client(connect_timeout), generation: 0 };
-        let pools = Pools { common, renewed: HashMap::new(), generations: 1 };
+        let common = Pool { client: build_client(connect_timeout), generation: 0 };
+        let pools = Pools { common, per_host: HashMap::new(), next_generation: 1 };
         Self { connect_timeout, pools: Arc::new(Mutex::new(pools)) }
     }
 
-    /// The connections to a host.
-    pub(crate) fn to(&self, host: &Authority) -> Pool {
+    /// Returns the current pool for a host.
+    pub(crate) fn pool_for(&self, host: &Authority) -> Pool {
         let pools = lock(&self.pools);
-        pools.renewed.get(host).unwrap_or(&pools.common).clone()
+        pools.per_host.get(host).unwrap_or(&pools.common).clone()
     }
 
-    /// Lets later calls to a host use none of the connections of a pool, unless they don't already.
+    /// Replaces the pool of a host if `suspect` is still its current pool.
     ///
-    /// Calls in progress on them go on. Returns whether anything changed.
-    pub(crate) fn distrust(&self, host: &Authority, suspect: &Pool) -> bool {
+    /// Later calls use new connections; calls in progress continue on the old ones. Returns whether the
+    /// pool was replaced.
+    pub(crate) fn replace_pool(&self, host: &Authority, suspect: &Pool) -> bool {
         let mut pools = lock(&self.pools);
-        let present = pools.renewed.get(host).unwrap_or(&pools.common);
-        if present.generation != suspect.generation {
+        let current = pools.per_host.get(host).unwrap_or(&pools.common);
+        if current.generation != suspect.generation {
             return false;
         }
-        let pool = Pool { client: client(self.connect_timeout), generation: pools.generations };
-        pools.generations += 1;
-        if pools.renewed.len() >= MOST_POOLS {
-            pools.renewed.clear();
+        let pool =
+            Pool { client: build_client(self.connect_timeout), generation: pools.next_generation };
+        pools.next_generation += 1;
+        if pools.per_host.len() >= MAX_HOST_POOLS {
+            pools.per_host.clear();
             pools.common = pool;
         } else {
-            pools.renewed.insert(host.clone(), pool);
+            pools.per_host.insert(host.clone(), pool);
         }
         true
     }
 }
 
-fn client(connect_timeout: Duration) -> Client<HttpConnector, Full<Bytes>> {
+fn build_client(connect_timeout: Duration) -> Client<HttpConnector, Full<Bytes>> {
     let mut connector = HttpConnector::new();
     connector.set_connect_timeout(Some(connect_timeout));
     connector.set_nodelay(true);
@@ -105,7 +109,7 @@
         .build(connector)
 }
 
-/// What a lock guards. It is held for single steps that don't panic, so what it guards is whole.
+/// Locks a mutex. A poisoned lock is safe to use, since no code that holds it can panic half way.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/kitetrail-platform/src/error.rs
+++ b/crates/kitetrail-platform/src/error.rs
@@ -1,42 +1,42 @@
-//! What can go wrong when the platform is asked.
+//! Errors of calls to the platform.
 
 use thiserror::Error;
 
-/// What can go wrong when the platform is asked.
+/// The error of a call to the platform.
 #[derive(Debug, Error)]
 pub enum PlatformError {
-    /// No connection could be made, so nothing was asked.
+    /// No connection could be established, so the request was not sent.
     #[error("the platform's {service} can't be reached: {cause}")]
     Unreachable {
-        /// The service.
+        /// The name of the service.
         service: &'static str,
-        /// What the connection said.
+        /// The error of the connection attempt.
         cause: String,
     },
-    /// The question went out, but no whole answer came back.
+    /// The request may have been sent, but no complete response was received.
     #[error("the answer of the platform's {service} was lost: {cause}")]
     AnswerLost {
-        /// The service.
+        /// The name of the service.
         service: &'static str,
-        /// What happened to it.
+        /// The reason.
         cause: String,
     },
-    /// The service refused to answer.
+    /// The service responded with an unexpected status.
     #[error("the platform's {service} answered {status}: {body}")]
     Refused {
-        /// The service.
+        /// The name of the service.
         service: &'static str,
         /// The HTTP status.
         status: u16,
-        /// What it said.
+        /// The beginning of the response body.
         body: String,
     },
-    /// The answer can't be read.
+    /// The JSON of a request or a response could not be written or parsed.
     #[error("the answer of the platform's {service} can't be read: {cause}")]
     Malformed {
-        /// The service.
+        /// The name of the service.
         service: &'static str,
-        /// What is wrong with it.
+        /// The JSON error.
         cause: String,
     },
 }
--- a/crates/kitetrail-platform/src/fleet.rs
+++ b/crates/kitetrail-platform/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What a fleet of workers that lease their tasks needs of its platform.
+//! Interfaces to the platform of a fleet whose workers lease their tasks.
 
 use std::{future::Future, time::Duration};
 
@@ -14,88 +14,88 @@
 
 use crate::{CallLimits, PlatformError};
 
-/// The name of a row: tables hold parts, parts hold keys.
+/// The name of a row. A table consists of parts, and a part of rows with unique keys.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RowName {
     /// The table.
     pub table: &'static str,
-    /// The part of it. A transaction touches one part, of any tables.
+    /// The part of the table. A transaction is limited to one part, in any number of tables.
     pub part: String,
-    /// The key in the part.
+    /// The key within the part.
     pub key: String,
 }
 
-/// A row as it was read.
+/// A row as read from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredRow {
-    /// Its key.
+    /// The key of the row.
     pub key: String,
-    /// Its part.
+    /// The part of the table that contains the row.
     pub part: String,
-    /// What it holds.
+    /// The contents of the row.
     pub value: Vec<u8>,
-    /// The transaction that wrote it.
+    /// The version of the transaction that wrote the row.
     pub version: u64,
 }
 
-/// Changes that happen together or not at all.
+/// A set of changes that are applied atomically.
 #[derive(Debug, Clone, Default)]
 pub struct RowTransaction {
-    /// Versions that rows must have; 0: the row must be absent.
+    /// The versions that rows must have. Version 0 requires that the row does not exist.
     pub expected: Vec<(RowName, u64)>,
-    /// Rows to write.
+    /// The rows to write.
     pub puts: Vec<(RowName, Vec<u8>)>,
-    /// Rows to remove.
+    /// The rows to remove.
     pub removes: Vec<RowName>,
 }
 
-/// What came back to a transaction.
+/// The result of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TransactionAnswer {
-    /// It is done; its rows have this version now.
+    /// The transaction was committed, and the rows it wrote have a new version.
     Done {
-        /// The version.
+        /// The new version.
         version: u64,
     },
-    /// Some row had another version. It is not done.
+    /// At least one row did not have the expected version, so nothing was changed.
     Conflict {
-        /// The rows of the condition as they are, absent ones left out.
+        /// The current state of the rows with expected versions, without those that do not exist.
         rows: Vec<StoredRow>,
     },
 }
 
-/// Some rows of a part of a table, in the order of their keys.
+/// A page of rows of one part of a table, in the order of their keys.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RowPage {
     /// The rows.
     pub rows: Vec<StoredRow>,
-    /// Where the next page begins; `None` after the last one.
+    /// The key at which the next page starts, or `None` for the last page.
     pub next: Option<String>,
 }
 
-/// What changed in a table.
+/// The changes of a table since a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TableChanges {
-    /// The rows that changed, in order; `None` for the value of one that is gone.
+    /// The rows that changed, in the order of the changes.
     Changed {
-        /// The rows.
+        /// The keys and new values of the rows; the value is `None` if the row was removed.
         rows: Vec<(String, Option<Vec<u8>>)>,
-        /// Where to go on.
+        /// The version from which to watch for further changes.
         version: u64,
     },
-    /// The store no longer knows what changed since: read the table anew.
+    /// The store has discarded the history since that version. The table must be read again.
     HistoryGone,
 }
 
-/// The store of what must outlast every box.
+/// A store for state that must survive the loss of any box.
 pub trait RowStore {
-    /// One row, `None` if it is absent.
+    /// Reads a row. Returns `None` if the row does not exist.
     fn read(
         &self,
         name: &RowName,
     ) -> impl Future<Output = Result<Option<StoredRow>, PlatformError>>;
 
-    /// The rows of a part of a table from a key on, `limit` at most.
+    /// Reads at most `limit` rows of a part of a table, starting at the key `from`.
     fn page(
         &self,
         table: &'static str,
@@ -104,15 +104,16 @@
         limit: usize,
     ) -> impl Future<Output = Result<RowPage, PlatformError>>;
 
-    /// Does all of a transaction or nothing.
+    /// Commits a transaction atomically.
     ///
-    /// A lost answer ([`PlatformError::AnswerLost`]) leaves open whether it was done, or will be.
+    /// After a lost response ([`PlatformError::AnswerLost`]), the transaction may have been committed or
+    /// may still be committed later.
     fn transact(
         &self,
         transaction: &RowTransaction,
     ) -> impl Future<Output = Result<TransactionAnswer, PlatformError>>;
 
-    /// What changed in a table after a version; waits until there is something, or `wait` is over.
+    /// Returns the changes of a table after a version. Waits up to `wait` for the first change.
     fn watch(
         &self,
         table: &'static str,
@@ -121,40 +122,40 @@
     ) -> impl Future<Output = Result<TableChanges, PlatformError>>;
 }
 
-/// An entry in the list of workers that names no worker to use.
+/// An entry in the list of workers that can't be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnusableEntry {
-    /// Under whose id it stands.
+    /// The id under which the entry is listed.
     pub id: LifeId,
-    /// What is wrong with it.
+    /// The reason why the entry can't be used.
     pub fault: EntryFault,
 }
 
-/// What is wrong with an entry in the list of workers.
+/// The reason why an entry in the list of workers can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum EntryFault {
-    /// Its bytes can't be read.
-    #[error("it can't be read: {0}")]
+    /// The entry can't be parsed.
+    #[error("the entry can't be parsed: {0}")]
     Unreadable(String),
-    /// A field is missing or holds something else than it should.
-    #[error("it has not the fields of a worker: {0}")]
+    /// A field is missing or has an invalid value.
+    #[error("a field of the entry is missing or invalid: {0}")]
     Fields(String),
-    /// Its state is none that workers have.
-    #[error("its state is unknown: {0:?}")]
+    /// The state of the worker is unknown.
+    #[error("the worker state is unknown: {0:?}")]
     State(String),
-    /// Its address is none at which a worker can answer.
-    #[error("it names no address of a worker: {0:?}")]
+    /// The address is not a valid address of a worker.
+    #[error("the worker address is invalid: {0:?}")]
     Address(String),
-    /// A field is empty that workers fill.
-    #[error("its {0} is empty")]
+    /// A required field is empty.
+    #[error("the field {0} is empty")]
     Empty(&'static str),
-    /// Its capacity is none, or more than any machine has.
-    #[error("its capacity is none that a machine has: {0}")]
+    /// The capacity is zero, or larger than that of any machine.
+    #[error("the capacity is not plausible for a machine: {0}")]
     Capacity(Resources),
 }
 
 impl EntryFault {
-    /// What is wrong, in a word for counters.
+    /// Returns the reason as one word, for metric labels.
     pub fn reason(&self) -> &'static str {
         match self {
             Self::Unreadable(_) => "unreadable",
@@ -167,41 +168,41 @@
     }
 }
 
-/// The list of workers as it was read.
+/// The list of workers at one version.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ListedWorkers {
-    /// The entries of workers.
+    /// The usable entries.
     pub entries: Vec<WorkerEntry>,
-    /// Entries that name no worker to use.
+    /// The entries that can't be used.
     pub unusable: Vec<UnusableEntry>,
-    /// Where to go on for changes.
+    /// The version from which to watch for changes.
     pub version: u64,
 }
 
-/// A change in the list of workers.
+/// The changes in the list of workers since a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WorkerChanges {
-    /// What changed: entries that are new or differ, and ids that are gone.
+    /// The entries that were added, changed or removed.
     Changed {
-        /// The entries.
+        /// The usable entries that were added or changed.
         listed: Vec<WorkerEntry>,
-        /// Entries that name no worker to use.
+        /// The entries that were added or changed and can't be used.
         unusable: Vec<UnusableEntry>,
-        /// The ids.
+        /// The ids of the removed entries.
         gone: Vec<LifeId>,
-        /// Where to go on.
+        /// The version from which to watch for further changes.
         version: u64,
     },
-    /// The platform no longer knows what changed since: list anew.
+    /// The platform has discarded the history since that version. The list must be read again.
     HistoryGone,
 }
 
-/// The list of workers that live.
+/// The list of live workers.
 pub trait WorkerList {
-    /// All workers, and where to go on for changes.
+    /// Reads the whole list of workers.
     fn workers(&self) -> impl Future<Output = Result<ListedWorkers, PlatformError>>;
 
-    /// What changed after a version; waits until there is something, or `wait` is over.
+    /// Returns the changes of the list after a version. Waits up to `wait` for the first change.
     fn worker_changes(
         &self,
         after: u64,
@@ -209,30 +210,31 @@
     ) -> impl Future<Output = Result<WorkerChanges, PlatformError>>;
 }
 
-/// What operators ask for: all of it, or what changed.
+/// The rows written by operators: all of them, or those that changed since a version.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct OperatorRows {
-    /// The configuration; `None` if there is none, it did not change or it can't be read.
+    /// The configuration, or `None` if it does not exist, did not change or can't be parsed.
     pub config: Option<FleetConfig>,
-    /// Requests to evacuate availability zones, and their withdrawals, in order.
+    /// The requests to evacuate availability zones, and their withdrawals, in order.
     pub evacuations: Vec<EvacuationChange>,
-    /// The version of the store up to which this holds, and where to go on for changes.
+    /// The version of the store at which the rows were read, and from which to watch for changes.
     pub version: u64,
 }
 
-/// Where operators put what they ask for.
+/// The source of the configuration and the requests of operators.
 pub trait OperatorSource {
-    /// All that operators ask for now.
+    /// Reads all rows written by operators.
     fn operator_rows(&self) -> impl Future<Output = Result<OperatorRows, PlatformError>>;
 
-    /// The requests to evacuate zones that are in force, and the version up to which that holds.
+    /// Reads the active requests to evacuate zones, and the version of the store at that time.
     fn evacuations(
         &self,
     ) -> impl Future<Output = Result<(Vec<EvacuationChange>, u64), PlatformError>>;
 
-    /// What changed after a version; waits until there is something, or `wait` is over.
+    /// Returns the changes after a version. Waits up to `wait` for the first change.
     ///
-    /// `None` asks to read all anew: what changed since is no longer known.
+    /// Returns `None` if the history since that version was discarded, so that everything must be read
+    /// again.
     fn operator_changes(
         &self,
         after: u64,
@@ -240,9 +242,9 @@
     ) -> impl Future<Output = Result<Option<OperatorRows>, PlatformError>>;
 }
 
-/// Orders to workers.
+/// The control interface of workers.
 pub trait WorkerControl {
-    /// Tells a worker to do something.
+    /// Sends an order to a worker.
     fn order(
         &self,
         worker: &WorkerEntry,
@@ -251,7 +253,9 @@
         order: &Order,
     ) -> impl Future<Output = OrderAnswer>;
 
-    /// Asks a worker what it runs and lets it go on. The answer may take as long as given.
+    /// Renews the leases of a worker and requests a report of its tasks.
+    ///
+    /// `limits` applies to the whole call.
     fn hold(
         &self,
         worker: &WorkerEntry,
@@ -260,17 +264,17 @@
     ) -> impl Future<Output = Result<Report, HoldFailure>>;
 }
 
-/// How callers write jobs and read answers.
+/// The format of requests and responses of callers that submit jobs.
 pub trait JobCodec {
-    /// The job in a request's body; the error says what is wrong with it.
+    /// Parses the job in a request body. The error is a message for the caller.
     fn read_job(&self, body: &[u8]) -> Result<JobSpec, String>;
 
-    /// The answer that tells a job's state.
+    /// Returns the response body that contains the state of a job.
     fn write_state(&self, state: JobState) -> Bytes;
 
-    /// The answer that tells how many jobs of a queue wait.
+    /// Returns the response body that contains the number of waiting jobs of a queue.
     fn write_pending(&self, pending: u64) -> Bytes;
 
-    /// The header by which a caller says how long it waits, in milliseconds.
+    /// Returns the name of the header that contains the caller's remaining time, in milliseconds.
     fn time_left_header(&self) -> &'static str;
 }
--- a/crates/kitetrail-platform/src/http.rs
+++ b/crates/kitetrail-platform/src/http.rs
@@ -1,4 +1,4 @@
-//! The adapters over HTTP with JSON bodies.
+//! HTTP adapters for the platform services, with JSON bodies.
 
 use std::{cell::RefCell, net::SocketAddr, time::Duration};
 
@@ -18,10 +18,10 @@
 
 use crate::{
     BoxList, JsonClient, ObjectStore, PlatformError, TableService, Worker,
-    json_client::{Answer, get_request},
+    json_client::{Response, get_request},
 };
 
-/// The table service over HTTP.
+/// A [`TableService`] over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpTable {
     address: SocketAddr,
@@ -29,7 +29,7 @@
 }
 
 impl HttpTable {
-    /// The table at an address.
+    /// Creates a client of the table service at `address`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self { address, client: JsonClient::new("table service", timeout) }
     }
@@ -47,16 +47,16 @@
 
 impl TableService for HttpTable {
     async fn read(&self, key: &Key) -> Result<Option<Row>, PlatformError> {
-        self.client.get(uri(self.address, "/v1/row?key=", key.as_str())).await
+        self.client.get(resource_uri(self.address, "/v1/row?key=", key.as_str())).await
     }
 
     async fn scan(&self, prefix: &Prefix) -> Result<Vec<Row>, PlatformError> {
-        let uri = uri(self.address, "/v1/rows?prefix=", prefix.as_str());
+        let uri = resource_uri(self.address, "/v1/rows?prefix=", prefix.as_str());
         Ok(self.client.get::<Rows>(uri).await?.map(|rows| rows.rows).unwrap_or_default())
     }
 
     async fn commit(&self, transaction: &Transaction) -> CommitAnswer {
-        let uri = uri(self.address, "/v1/transactions", "");
+        let uri = resource_uri(self.address, "/v1/transactions", "");
         match self.client.post::<Committed>(uri, transaction).await {
             Ok(committed) => CommitAnswer::Committed(committed.version),
             Err(PlatformError::Refused { status: 409, .. }) => CommitAnswer::Conflict,
@@ -65,7 +65,7 @@
     }
 }
 
-/// The object store over HTTP.
+/// An [`ObjectStore`] over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpObjectStore {
     address: SocketAddr,
@@ -73,7 +73,7 @@
 }
 
 impl HttpObjectStore {
-    /// The object store at an address.
+    /// Creates a client of the object store at `address`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self { address, client: JsonClient::new("object store", timeout) }
     }
@@ -81,7 +81,7 @@
 
 impl ObjectStore for HttpObjectStore {
     async fn get(&self, name: &str) -> Result<Option<Bytes>, PlatformError> {
-        let request = get_request(uri(self.address, "/v1/objects/", name));
+        let request = get_request(resource_uri(self.address, "/v1/objects/", name));
         let (status, body) = self.client.send(request).await?;
         match status {
             StatusCode::OK => Ok(Some(body)),
@@ -93,13 +93,13 @@
     async fn put(&self, name: &str, contents: Bytes) -> Result<(), PlatformError> {
         let mut request = Request::new(Full::new(contents));
         *request.method_mut() = Method::PUT;
-        *request.uri_mut() = uri(self.address, "/v1/objects/", name);
+        *request.uri_mut() = resource_uri(self.address, "/v1/objects/", name);
         let (status, body) = self.client.send(request).await?;
         if status.is_success() { Ok(()) } else { Err(self.client.refused(status, &body)) }
     }
 }
 
-/// The box list over HTTP. A list that has not changed is not sent again.
+/// A [`BoxList`] over HTTP. An entity tag avoids sending an unchanged list again.
 #[derive(Debug)]
 pub struct HttpBoxList {
     address: SocketAddr,
@@ -108,7 +108,7 @@
 }
 
 impl HttpBoxList {
-    /// The box list at an address.
+    /// Creates a client of the box list at `address`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         let client = JsonClient::new("box list", timeout);
         Self { address, client, etag: RefCell::new(None) }
@@ -117,11 +117,11 @@
 
 impl BoxList for HttpBoxList {
     async fn changes(&self) -> Result<Option<Fleet>, PlatformError> {
-        let mut request = get_request(uri(self.address, "/v1/boxes", ""));
+        let mut request = get_request(resource_uri(self.address, "/v1/boxes", ""));
         if let Some(etag) = self.etag.borrow().clone() {
             request.headers_mut().insert(IF_NONE_MATCH, etag);
         }
-        let Answer { status, headers, body } = self.client.send_for_head(request).await?;
+        let Response { status, headers, body } = self.client.send_with_headers(request).await?;
         match status {
             StatusCode::NOT_MODIFIED => Ok(None),
             StatusCode::OK => {
@@ -134,14 +134,14 @@
     }
 }
 
-/// The control interface of workers over HTTP.
+/// The control interface of all [`Worker`]s over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpWorkers {
     client: JsonClient,
 }
 
 impl HttpWorkers {
-    /// A client to all workers.
+    /// Creates a client that can call every worker.
     pub fn new(timeout: Duration) -> Self {
         Self { client: JsonClient::new("worker", timeout) }
     }
@@ -153,13 +153,15 @@
         worker: &WorkerInfo,
         request: &SyncRequest,
     ) -> Result<SyncReply, PlatformError> {
-        self.client.post(uri(worker.control, "/v1/sync", ""), request).await
+        self.client.post(resource_uri(worker.control, "/v1/sync", ""), request).await
     }
 }
 
-/// The address of a resource. Names hold no character that a URI must escape, apart
-/// from those that an operator chose for a change, which are checked on entry.
-fn uri(address: SocketAddr, path: &str, name: &str) -> Uri {
+/// Returns the URI of a resource.
+///
+/// Names contain no characters that need escaping in a URI. The names that operators choose for
+/// changes are validated when they are submitted.
+fn resource_uri(address: SocketAddr, path: &str, name: &str) -> Uri {
     let text = format!("http://{address}{path}{name}");
     text.parse().unwrap_or_else(|_| Uri::from_static("http://0.0.0.0/invalid-name"))
 }
--- a/crates/kitetrail-platform/src/json_client.rs
+++ b/crates/kitetrail-platform/src/json_client.rs
@@ -1,4 +1,4 @@
-//! A client that sends and receives JSON.
+//! An HTTP client for services that send and receive JSON.
 
 use std::{pin::pin, time::Duration};
 
@@ -16,71 +16,71 @@
     within,
 };
 
-/// The largest answer that is read.
+/// The maximum size of a response body.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
-/// How much of the body of a refusal an error shows, in bytes.
-const SHOWN_OF_BODY: usize = 200;
+/// The maximum length of a response body in an error message, in bytes.
+const MAX_ERROR_BODY_BYTES: usize = 200;
 
-/// How long a call may take.
+/// The time limits of a call.
 #[derive(Debug, Clone, Copy)]
 pub struct CallLimits {
-    /// A call that has brought nothing for so long makes the connections to its host suspect: later
-    /// calls go on new ones.
+    /// The time without a response after which the connections to the host are considered broken, so
+    /// that later calls use new ones.
     pub suspect_after: Duration,
-    /// After so long the call is given up.
+    /// The time after which the call fails.
     pub timeout: Duration,
 }
 
 impl CallLimits {
-    /// The same time for both.
+    /// Returns limits that use the same time for both.
     pub fn both(timeout: Duration) -> Self {
         Self { suspect_after: timeout, timeout }
     }
 }
 
-/// A whole answer.
-pub(crate) struct Answer {
+/// A complete response.
+pub(crate) struct Response {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-/// A client that sends and receives JSON, with one timeout for the whole exchange.
+/// An HTTP client for one service, with one timeout for the whole exchange.
 ///
-/// An open connection may go silent without a reset. So after a call that brought nothing in time no
-/// connection to its host that was there by then is used again.
+/// An open connection may go silent without a reset. When a call gets no response in time, later calls
+/// to its host therefore use none of the connections that existed by then.
 #[derive(Debug, Clone)]
 pub struct JsonClient {
     service: &'static str,
     limits: CallLimits,
     connections: Connections,
-    silences: SilenceCounts,
+    silence_counts: SilenceCounts,
 }
 
 impl JsonClient {
-    /// A client that names `service` in its errors.
+    /// Creates a client. Errors and counters name the service as `service`.
     pub fn new(service: &'static str, timeout: Duration) -> Self {
         Self {
             service,
             limits: CallLimits::both(timeout),
             connections: Connections::new(timeout),
-            silences: SilenceCounts::default(),
+            silence_counts: SilenceCounts::default(),
         }
     }
 
-    /// Suspects connections sooner than calls are given up.
+    /// Sets the time without a response after which connections are replaced.
     pub fn suspecting_after(mut self, suspect_after: Duration) -> Self {
         self.limits.suspect_after = suspect_after;
         self
     }
 
-    /// Counts silent connections together with other clients.
-    pub fn counting(mut self, silences: SilenceCounts) -> Self {
-        self.silences = silences;
+    /// Sets the counters of replaced connections, which several clients can share.
+    pub fn counting(mut self, silence_counts: SilenceCounts) -> Self {
+        self.silence_counts = silence_counts;
         self
     }
 
-    /// Sends a request and returns the status and the whole body.
+    /// Sends a request and returns the status and the complete body.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -88,39 +88,39 @@
         self.send_within(request, self.limits).await
     }
 
-    /// Sends a request and returns the status and the whole body, with limits of its own.
+    /// Sends a request with the given limits and returns the status and the complete body.
     pub async fn send_within(
         &self,
         request: Request<Full<Bytes>>,
         limits: CallLimits,
     ) -> Result<(StatusCode, Bytes), PlatformError> {
-        let Answer { status, body, .. } = self.exchange_within(request, limits).await?;
+        let Response { status, body, .. } = self.exchange_with_limits(request, limits).await?;
         Ok((status, body))
     }
 
-    /// Sends a request and returns the status, the headers and the whole body.
-    pub(crate) async fn send_for_head(
+    /// Sends a request and returns the status, the headers and the complete body.
+    pub(crate) async fn send_with_headers(
         &self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Answer, PlatformError> {
-        self.exchange_within(request, self.limits).await
+    ) -> Result<Response, PlatformError> {
+        self.exchange_with_limits(request, self.limits).await
     }
 
-    async fn exchange_within(
+    async fn exchange_with_limits(
         &self,
         request: Request<Full<Bytes>>,
         limits: CallLimits,
-    ) -> Result<Answer, PlatformError> {
+    ) -> Result<Response, PlatformError> {
         let host = request.uri().authority().cloned();
-        let host = host.ok_or_else(|| self.lost("the address names no host".to_owned()))?;
-        let pool = self.connections.to(&host);
+        let host = host.ok_or_else(|| self.answer_lost_error("the URI has no host".to_owned()))?;
+        let pool = self.connections.pool_for(&host);
         let mut exchange = pin!(self.exchange(&pool, request));
         let suspect_after = limits.suspect_after.min(limits.timeout);
-        if let Some(answer) = within(suspect_after, exchange.as_mut()).await {
-            return answer;
+        if let Some(response) = within(suspect_after, exchange.as_mut()).await {
+            return response;
         }
-        if self.connections.distrust(&host, &pool) {
-            self.silences.note(self.service);
+        if self.connections.replace_pool(&host, &pool) {
+            self.silence_counts.note(self.service);
             log::info!(
                 service = self.service, host = host.as_str(),
                 after_ms = suspect_after.as_millis() as u64;
@@ -128,12 +128,12 @@
             );
         }
         match within(limits.timeout.saturating_sub(suspect_after), exchange).await {
-            Some(answer) => answer,
-            None => Err(self.lost(format!("nothing came within {:?}", limits.timeout))),
+            Some(response) => response,
+            None => Err(self.answer_lost_error(format!("no response within {:?}", limits.timeout))),
         }
     }
 
-    /// Asks for JSON. `None` stands for "not found".
+    /// Sends a GET request and parses the JSON response. Returns `None` for the status "not found".
     pub async fn get<T: DeserializeOwned>(&self, uri: Uri) -> Result<Option<T>, PlatformError> {
         let (status, body) = self.send(get_request(uri)).await?;
         match status {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Sends JSON and returns the JSON that comes back.
+    /// Sends a POST request with a JSON body and parses the JSON response.
     pub async fn post<T: DeserializeOwned>(
         &self,
         uri: Uri,
@@ -156,13 +156,13 @@
         }
     }
 
-    /// A request that carries JSON.
+    /// Returns a POST request with a JSON body.
     pub fn json_request(
         &self,
         uri: Uri,
         body: &impl Serialize,
     ) -> Result<Request<Full<Bytes>>, PlatformError> {
-        let body = serde_json::to_vec(body).map_err(|error| self.malformed(error))?;
+        let body = serde_json::to_vec(body).map_err(|error| self.malformed_error(error))?;
         let mut request = Request::new(Full::new(Bytes::from(body)));
         *request.method_mut() = Method::POST;
         *request.uri_mut() = uri;
@@ -171,53 +171,54 @@
         Ok(request)
     }
 
-    /// Reads JSON.
+    /// Parses JSON.
     pub fn parse<T: DeserializeOwned>(&self, body: &[u8]) -> Result<T, PlatformError> {
-        serde_json::from_slice(body).map_err(|error| self.malformed(error))
+        serde_json::from_slice(body).map_err(|error| self.malformed_error(error))
     }
 
     async fn exchange(
         &self,
         pool: &Pool,
         request: Request<Full<Bytes>>,
-    ) -> Result<Answer, PlatformError> {
-        let response = pool.client.request(request).await.map_err(|error| {
-            let cause = error_chain(&error);
+    ) -> Result<Response, PlatformError> {
+        let http_response = pool.client.request(request).await.map_err(|error| {
+            let cause = format_error_chain(&error);
             match error.is_connect() {
                 true => PlatformError::Unreachable { service: self.service, cause },
-                false => self.lost(cause),
+                false => self.answer_lost_error(cause),
             }
         })?;
-        let (parts, body) = response.into_parts();
+        let (parts, body) = http_response.into_parts();
         let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
-        let body = body.map_err(|error| self.lost(error.to_string()))?.to_bytes();
-        Ok(Answer { status: parts.status, headers: parts.headers, body })
+        let body = body.map_err(|error| self.answer_lost_error(error.to_string()))?.to_bytes();
+        Ok(Response { status: parts.status, headers: parts.headers, body })
     }
 
-    fn lost(&self, cause: String) -> PlatformError {
+    fn answer_lost_error(&self, cause: String) -> PlatformError {
         PlatformError::AnswerLost { service: self.service, cause }
     }
 
-    /// The error for an answer with a status that refuses.
+    /// Returns the error for a response with an unexpected status.
     pub fn refused(&self, status: StatusCode, body: &[u8]) -> PlatformError {
-        let body = String::from_utf8_lossy(&body[..body.len().min(SHOWN_OF_BODY)]).into_owned();
+        let body =
+            String::from_utf8_lossy(&body[..body.len().min(MAX_ERROR_BODY_BYTES)]).into_owned();
         PlatformError::Refused { service: self.service, status: status.as_u16(), body }
     }
 
-    fn malformed(&self, error: serde_json::Error) -> PlatformError {
+    fn malformed_error(&self, error: serde_json::Error) -> PlatformError {
         PlatformError::Malformed { service: self.service, cause: error.to_string() }
     }
 }
 
-/// A request that reads something.
+/// Returns a GET request.
 pub(crate) fn get_request(uri: Uri) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::default());
     *request.uri_mut() = uri;
     request
 }
 
-/// An error with its causes in one line.
-fn error_chain(error: &dyn std::error::Error) -> String {
+/// Formats an error and its causes on one line.
+fn format_error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/crates/kitetrail-platform/src/lib.rs
+++ b/crates/kitetrail-platform/src/lib.rs
@@ -1,7 +1,6 @@
-//! The platform's services: small traits, and one adapter to each over HTTP.
+//! Interfaces to the platform's services: small traits, with one HTTP adapter for each.
 //!
-//! This is the only place that changes when kitetrail meets other services than the
-//! ones its adapters speak to.
+//! Only this crate needs to change to support a platform with other services.
 
 mod connections;
 mod error;
--- a/crates/kitetrail-platform/src/patience.rs
+++ b/crates/kitetrail-platform/src/patience.rs
@@ -1,4 +1,4 @@
-//! Waiting with a limit, fair to answers that are here but could not be read yet.
+//! A timeout that does not count the time during which the process was stalled.
 
 use std::{
     future::Future,
@@ -8,28 +8,32 @@
 
 use tokio::time;
 
-/// A timer that fires so much late tells that the process was held up, and what came meanwhile was
-/// not read. Timers fire a millisecond or two late on an idle box.
-const HELD_UP: Duration = Duration::from_millis(20);
-/// How often the time that the process was held up is granted again. An owner short of processor time
-/// is held up time and again; each wait must end.
-const MOST_GRANTS: u32 = 3;
+/// The minimum delay of a timer that counts as a stall of the process.
+///
+/// Responses that arrived during a stall have not been read yet. On an idle box, timers fire one or two
+/// milliseconds late.
+const MIN_STALL: Duration = Duration::from_millis(20);
+/// The maximum number of times that a wait is extended after a stall.
+///
+/// An owner that is short of processor time stalls repeatedly, but each wait must end.
+const MAX_EXTENSIONS: u32 = 3;
 
-/// Waits for something as long as given; longer if the process itself was held up. `None`: it did not
-/// come.
-pub async fn within<T>(limit: Duration, awaited: impl Future<Output = T>) -> Option<T> {
-    let mut awaited = pin!(awaited);
+/// Waits for an operation to complete, for up to `limit`, and longer if the process was stalled.
+///
+/// Returns `None` if the operation did not complete in time.
+pub async fn within<T>(limit: Duration, operation: impl Future<Output = T>) -> Option<T> {
+    let mut operation = pin!(operation);
     let mut wait = limit;
-    for _ in 0..=MOST_GRANTS {
+    for _ in 0..=MAX_EXTENSIONS {
         let started = Instant::now();
-        if let Ok(value) = time::timeout(wait, &mut awaited).await {
+        if let Ok(value) = time::timeout(wait, &mut operation).await {
             return Some(value);
         }
-        let late = started.elapsed().saturating_sub(wait);
-        if late < HELD_UP {
+        let overrun = started.elapsed().saturating_sub(wait);
+        if overrun < MIN_STALL {
             return None;
         }
-        wait = late.min(limit);
+        wait = overrun.min(limit);
     }
     None
 }
--- a/crates/kitetrail-platform/src/services.rs
+++ b/crates/kitetrail-platform/src/services.rs
@@ -1,4 +1,4 @@
-//! The platform's services as kitetrail needs them.
+//! Traits for the platform services that kitetrail needs.
 
 use std::future::Future;
 
@@ -11,38 +11,38 @@
 
 use crate::PlatformError;
 
-/// The transactional table.
+/// A transactional table.
 pub trait TableService {
-    /// The row of a name, or `None` if there is none.
+    /// Returns the row with a key, or `None` if it does not exist.
     fn read(&self, key: &Key) -> impl Future<Output = Result<Option<Row>, PlatformError>>;
 
-    /// All rows whose names start alike, in order.
+    /// Returns all rows whose keys start with a prefix, in the order of the keys.
     fn scan(&self, prefix: &Prefix) -> impl Future<Output = Result<Vec<Row>, PlatformError>>;
 
-    /// Sends a transaction.
+    /// Commits a transaction.
     ///
-    /// Every doubt about its effect is [`CommitAnswer::Unknown`].
+    /// Returns [`CommitAnswer::Unknown`] whenever it is uncertain whether the transaction took effect.
     fn commit(&self, transaction: &Transaction) -> impl Future<Output = CommitAnswer>;
 }
 
-/// The object store.
+/// A store of named objects.
 pub trait ObjectStore {
-    /// The contents of an object, or `None` if there is none.
+    /// Returns the contents of an object, or `None` if it does not exist.
     fn get(&self, name: &str) -> impl Future<Output = Result<Option<Bytes>, PlatformError>>;
 
-    /// Stores an object in place of what it held.
+    /// Stores an object and replaces its previous contents.
     fn put(&self, name: &str, contents: Bytes) -> impl Future<Output = Result<(), PlatformError>>;
 }
 
-/// The lagging list of boxes.
+/// The list of boxes, which lags behind the actual state.
 pub trait BoxList {
-    /// The list as it is known now, or `None` if it is the one returned last.
+    /// Returns the current list, or `None` if it has not changed since the last call.
     fn changes(&self) -> impl Future<Output = Result<Option<Fleet>, PlatformError>>;
 }
 
 /// The control interface of workers.
 pub trait Worker {
-    /// Tells a worker all that is wanted of it and hears what it does.
+    /// Sends the complete desired state to a worker and returns its reported state.
     fn sync(
         &self,
         worker: &WorkerInfo,
