--- a/crates/kitetrail-policy/src/error.rs
+++ b/crates/kitetrail-policy/src/error.rs
@@ -1,47 +1,47 @@
-//! What can be wrong with a policy.
+//! Errors of policies.
 
 use kitetrail_core::TaskClass;
 use thiserror::Error;
 
-/// A policy that can't be compiled.
+/// The error of a policy that can't be compiled.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PolicyError {
-    /// The text is not a program.
-    #[error("line {line}: {cause}; mend the line and check again")]
+    /// The policy has a syntax error.
+    #[error("line {line}: {cause}; fix the line and check again")]
     Syntax {
-        /// The line, from 1.
+        /// The line number, starting at 1.
         line: usize,
-        /// What is wrong.
+        /// The syntax error.
         cause: String,
     },
-    /// A function that kitetrail does not ask.
+    /// The policy defines a function that kitetrail does not call.
     #[error(
-        "line {line}: no one asks `{name}` with {parameters} parameters; the functions are rank(task), may_share(one, other), sacrifice(task), max_slowdown(task) and tail_weight(), and helpers must start with an underscore"
+        "line {line}: unknown function `{name}` with {parameters} parameters; the functions are rank(task), may_share(one, other), sacrifice(task), max_slowdown(task) and tail_weight(), and helpers must start with an underscore"
     )]
     UnknownFunction {
-        /// The line, from 1.
+        /// The line number, starting at 1.
         line: usize,
-        /// The function.
+        /// The name of the function.
         name: String,
-        /// How many parameters it has.
+        /// The number of its parameters.
         parameters: usize,
     },
 }
 
-/// A question that a policy failed to answer.
+/// A failed call of a policy function. The last valid result stays in force.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("policy {function} failed for class {class}: {cause}; the last good answer stays")]
 pub struct PolicyFault {
-    /// The function.
+    /// The name of the function.
     pub function: &'static str,
-    /// The class it was asked about.
+    /// The class of the task that the function was called with.
     pub class: String,
-    /// What happened.
+    /// The reason of the failure.
     pub cause: String,
 }
 
 impl PolicyFault {
-    /// A fault in the answer about a class.
+    /// Creates the fault of a function that was called for a class.
     pub(crate) fn new(function: &'static str, class: &TaskClass, cause: String) -> Self {
         Self { function, class: class.to_string(), cause }
     }
--- a/crates/kitetrail-policy/src/evaluate.rs
+++ b/crates/kitetrail-policy/src/evaluate.rs
@@ -1,4 +1,4 @@
-//! A policy's answers for the classes that exist.
+//! Evaluates a policy for the existing classes.
 
 use std::collections::BTreeSet;
 
@@ -6,18 +6,18 @@
 
 use crate::{PolicyFault, Program, TaskFacts};
 
-/// A policy's answers, and the questions it failed to answer.
+/// The result of evaluating a policy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Evaluation {
-    /// The answers.
+    /// The results of the policy functions, by class.
     pub table: PolicyTable,
-    /// The failures.
+    /// The calls that failed.
     pub faults: Vec<PolicyFault>,
 }
 
-/// Asks a policy about every class and pair of classes.
+/// Evaluates a policy for every class and pair of classes.
 ///
-/// Where it fails, the answer in `previous` stays.
+/// Where a policy function fails, the result in `previous` is kept.
 pub fn evaluate(
     program: &Program,
     revision: u64,
@@ -35,7 +35,7 @@
         }
     }
     for task in tasks {
-        let rule = rule_of(program, task, previous, &mut faults);
+        let rule = evaluate_rule(program, task, previous, &mut faults);
         table.rules.insert(task.class.clone(), rule);
         for other in tasks {
             let pair = (task.class.clone(), other.class.clone());
@@ -55,7 +55,7 @@
     Evaluation { table, faults }
 }
 
-fn rule_of(
+fn evaluate_rule(
     program: &Program,
     task: &TaskFacts,
     previous: &PolicyTable,
@@ -63,25 +63,26 @@
 ) -> ClassRule {
     let default = ClassRule::default_of(task.kind);
     let last_good = previous.rule(&task.class, task.kind);
-    let mut note = |function, cause| faults.push(PolicyFault::new(function, &task.class, cause));
+    let mut add_fault =
+        |function, cause| faults.push(PolicyFault::new(function, &task.class, cause));
     let rank = match program.rank(task) {
         Ok(answer) => answer.unwrap_or(default.rank),
         Err(cause) => {
-            note("rank", cause);
+            add_fault("rank", cause);
             last_good.rank
         }
     };
     let sacrifice = match program.sacrifice(task) {
         Ok(answer) => answer.unwrap_or(default.sacrifice),
         Err(cause) => {
-            note("sacrifice", cause);
+            add_fault("sacrifice", cause);
             last_good.sacrifice
         }
     };
     let max_slowdown = match program.max_slowdown(task) {
         Ok(answer) => answer.unwrap_or(default.max_slowdown),
         Err(cause) => {
-            note("max_slowdown", cause);
+            add_fault("max_slowdown", cause);
             last_good.max_slowdown
         }
     };
--- a/crates/kitetrail-policy/src/lib.rs
+++ b/crates/kitetrail-policy/src/lib.rs
@@ -1,10 +1,10 @@
-//! The policy language: compile, check and evaluate operators' policies.
+//! The policy language: compiles, checks and evaluates the policies of operators.
 //!
-//! A policy is a short program of functions, each of which may be left out:
-//! `rank(task)`, `may_share(one, other)`, `sacrifice(task)`, `max_slowdown(task)` and
-//! `tail_weight()`. It sees the task it is asked about and nothing else, and runs under
-//! a cost limit. Its answers become a [`PolicyTable`](kitetrail_core::placement::PolicyTable),
-//! so that no interpreter stands on the path of a request or a placement.
+//! A policy is a short program that defines functions, all of them optional: `rank(task)`,
+//! `may_share(one, other)`, `sacrifice(task)`, `max_slowdown(task)` and `tail_weight()`. A function has
+//! access to its parameters only and runs under a cost limit. The results are stored in a
+//! [`PolicyTable`](kitetrail_core::placement::PolicyTable), so that requests and placements never wait
+//! for the interpreter.
 
 mod error;
 mod evaluate;
--- a/crates/kitetrail-policy/src/program.rs
+++ b/crates/kitetrail-policy/src/program.rs
@@ -9,26 +9,26 @@
 
 use crate::PolicyError;
 
-/// The most steps one question may take.
+/// The maximum number of operations of one function call.
 const MAX_OPERATIONS: u64 = 20_000;
-/// The most calls within calls.
+/// The maximum depth of nested calls.
 const MAX_CALL_DEPTH: usize = 16;
-/// The longest text a policy may build, in bytes.
+/// The maximum length of a string that a policy may build, in bytes.
 const MAX_TEXT_BYTES: usize = 4_096;
-/// The most entries in a list or map a policy may build.
+/// The maximum number of entries of an array or map that a policy may build.
 const MAX_ENTRIES: usize = 256;
-/// The functions that are asked, and their numbers of parameters.
-const FUNCTIONS: [(&str, usize); 5] =
+/// The functions that a policy may define, with their numbers of parameters.
+const POLICY_FUNCTIONS: [(&str, usize); 5] =
     [("rank", 1), ("may_share", 2), ("sacrifice", 1), ("max_slowdown", 1), ("tail_weight", 0)];
 
-/// What a policy sees of a task.
+/// The properties of a task that are visible to a policy.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskFacts {
-    /// Its class.
+    /// The class of the task.
     pub class: TaskClass,
-    /// Its kind.
+    /// The kind of the task.
     pub kind: Kind,
-    /// The team that owns it.
+    /// The team that owns the task.
     pub team: TeamId,
 }
 
@@ -56,11 +56,11 @@
 }
 
 impl Program {
-    /// Compiles a policy. Nothing of it is run.
+    /// Compiles a policy without running any of its code.
     pub fn compile(text: &str) -> Result<Self, PolicyError> {
-        let engine = engine();
+        let engine = build_engine();
         let ast = engine.compile(text).map_err(|error| PolicyError::Syntax {
-            line: line_of(error.position()),
+            line: line_number(error.position()),
             cause: error.err_type().to_string(),
         })?;
         let program = Self { engine, ast };
@@ -68,26 +68,32 @@
         Ok(program)
     }
 
-    /// How much a task matters. `None` if the policy doesn't say.
+    /// Calls `rank(task)`: the importance of a task.
+    ///
+    /// Returns `None` if the policy does not define the function.
     pub fn rank(&self, task: &TaskFacts) -> Result<Option<u8>, String> {
-        let Some(answer) = self.ask("rank", [task.to_map().into()])? else { return Ok(None) };
-        let rank = answer.as_int().ok().and_then(|rank| u8::try_from(rank).ok());
+        let Some(result) = self.call("rank", [task.to_map().into()])? else { return Ok(None) };
+        let rank = result.as_int().ok().and_then(|rank| u8::try_from(rank).ok());
         rank.map(Some).ok_or_else(|| "the answer must be a whole number from 0 to 255".to_owned())
     }
 
-    /// Whether two tasks may share a worker. `None` if the policy doesn't say.
+    /// Calls `may_share(one, other)`: whether two tasks may share a worker.
+    ///
+    /// Returns `None` if the policy does not define the function.
     pub fn may_share(&self, one: &TaskFacts, other: &TaskFacts) -> Result<Option<bool>, String> {
         let parameters = [one.to_map().into(), other.to_map().into()];
-        let Some(answer) = self.ask("may_share", parameters)? else { return Ok(None) };
-        answer.as_bool().map(Some).map_err(|_| "the answer must be true or false".to_owned())
+        let Some(result) = self.call("may_share", parameters)? else { return Ok(None) };
+        result.as_bool().map(Some).map_err(|_| "the answer must be true or false".to_owned())
     }
 
-    /// What may be done to a task under pressure. `None` if the policy doesn't say.
+    /// Calls `sacrifice(task)`: the measure that may be taken against a task when resources are scarce.
+    ///
+    /// Returns `None` if the policy does not define the function.
     pub fn sacrifice(&self, task: &TaskFacts) -> Result<Option<Sacrifice>, String> {
-        let Some(answer) = self.ask("sacrifice", [task.to_map().into()])? else {
+        let Some(result) = self.call("sacrifice", [task.to_map().into()])? else {
             return Ok(None);
         };
-        match answer.into_string().as_deref() {
+        match result.into_string().as_deref() {
             Ok("never") => Ok(Some(Sacrifice::Never)),
             Ok("throttle") => Ok(Some(Sacrifice::Throttle)),
             Ok("evict") => Ok(Some(Sacrifice::Evict)),
@@ -95,27 +101,31 @@
         }
     }
 
-    /// The slowdown a task may suffer. `None` if the policy doesn't say.
+    /// Calls `max_slowdown(task)`: the maximum slowdown of a task by its neighbours.
+    ///
+    /// Returns `None` if the policy does not define the function.
     pub fn max_slowdown(&self, task: &TaskFacts) -> Result<Option<f64>, String> {
-        let Some(answer) = self.ask("max_slowdown", [task.to_map().into()])? else {
+        let Some(result) = self.call("max_slowdown", [task.to_map().into()])? else {
             return Ok(None);
         };
-        match number(&answer) {
+        match as_number(&result) {
             Some(slowdown) if slowdown >= 1.0 => Ok(Some(slowdown)),
             _ => Err("the answer must be a number from 1.0".to_owned()),
         }
     }
 
-    /// How much tail latency weighs. `None` if the policy doesn't say.
+    /// Calls `tail_weight()`: the weight of tail latency in placement.
+    ///
+    /// Returns `None` if the policy does not define the function.
     pub fn tail_weight(&self) -> Result<Option<f64>, String> {
-        let Some(answer) = self.ask("tail_weight", [])? else { return Ok(None) };
-        match number(&answer) {
+        let Some(result) = self.call("tail_weight", [])? else { return Ok(None) };
+        match as_number(&result) {
             Some(weight) if (0.0..=1.0).contains(&weight) => Ok(Some(weight)),
             _ => Err("the answer must be a number from 0.0 to 1.0".to_owned()),
         }
     }
 
-    fn ask<const N: usize>(
+    fn call<const N: usize>(
         &self,
         function: &'static str,
         parameters: [Dynamic; N],
@@ -125,19 +135,19 @@
         }
         let mut scope = Scope::new();
         let options = rhai::CallFnOptions::new().eval_ast(false);
-        let answer = self.engine.call_fn_with_options::<Dynamic>(
+        let result = self.engine.call_fn_with_options::<Dynamic>(
             options,
             &mut scope,
             &self.ast,
             function,
             parameters.to_vec(),
         );
-        answer.map(Some).map_err(|error| error.to_string())
+        result.map(Some).map_err(|error| error.to_string())
     }
 
     fn check_functions(&self, text: &str) -> Result<(), PolicyError> {
         let unknown = self.ast.iter_functions().find(|function| {
-            let known = FUNCTIONS.contains(&(function.name, function.params.len()));
+            let known = POLICY_FUNCTIONS.contains(&(function.name, function.params.len()));
             !known && !function.name.starts_with('_')
         });
         let Some(function) = unknown else { return Ok(()) };
@@ -148,7 +158,7 @@
     }
 }
 
-fn engine() -> Engine {
+fn build_engine() -> Engine {
     let mut engine = Engine::new();
     engine
         .set_max_operations(MAX_OPERATIONS)
@@ -165,10 +175,10 @@
     engine
 }
 
-fn number(answer: &Dynamic) -> Option<f64> {
-    answer.as_float().ok().or_else(|| answer.as_int().ok().map(|whole| whole as f64))
+fn as_number(result: &Dynamic) -> Option<f64> {
+    result.as_float().ok().or_else(|| result.as_int().ok().map(|whole| whole as f64))
 }
 
-fn line_of(position: Position) -> usize {
+fn line_number(position: Position) -> usize {
     position.line().unwrap_or(0)
 }
