--- a/crates/kitetrail-proto/src/convert.rs
+++ b/crates/kitetrail-proto/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between messages and the core's types.
+//! Conversions between messages and the types of `kitetrail-core`.
 
 use std::net::{AddrParseError, SocketAddr};
 
@@ -12,17 +12,17 @@
 
 use crate::peer;
 
-/// A message that can't be read.
+/// The error of a message that can't be converted.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// A name breaks the rules.
-    #[error("a peer sent a bad name: {0}")]
+    /// A name is invalid.
+    #[error("invalid name in a message from a peer: {0}")]
     Name(#[from] InvalidId),
-    /// An address can't be read.
-    #[error("a peer sent a bad address: {0}")]
+    /// An address is invalid.
+    #[error("invalid address in a message from a peer: {0}")]
     Address(#[from] AddrParseError),
-    /// A configuration can't be read.
-    #[error("a peer sent a configuration that can't be read: {0}")]
+    /// A configuration can't be converted from or to JSON.
+    #[error("invalid configuration in a message from a peer: {0}")]
     Configuration(#[from] serde_json::Error),
 }
 
--- a/crates/kitetrail-proto/src/lib.rs
+++ b/crates/kitetrail-proto/src/lib.rs
@@ -1,7 +1,7 @@
-//! The messages between kitetrail's daemons.
+//! The messages exchanged between kitetrail daemons.
 //!
-//! The code is generated from the files in `proto/` and committed. The test
-//! `generated_code_is_current` says how to write it anew.
+//! The message types are generated from the files in `proto/`, and the generated code is committed. The
+//! test `generated_code_is_current` explains how to regenerate it.
 
 mod convert;
 
--- a/crates/kitetrail-standins/src/args.rs
+++ b/crates/kitetrail-standins/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line of the stand-ins.
+//! The command-line arguments of the stand-ins.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -8,46 +8,46 @@
 #[derive(Debug, Parser)]
 #[command(name = "kitetrail-standins", version)]
 pub struct Args {
-    /// Which stand-in to run.
+    /// The stand-in to run.
     #[command(subcommand)]
     pub role: Role,
 }
 
-/// Which stand-in to run.
+/// The stand-in to run.
 #[derive(Debug, Subcommand)]
 pub enum Role {
     /// The transactional table and the object store.
     Table(TableArgs),
-    /// The lagging list of boxes.
+    /// The list of boxes, which shows changes with a delay.
     BoxList(BoxListArgs),
     /// A worker with its endpoint.
     Worker(WorkerArgs),
-    /// Callers: an open-loop load that checks every answer.
+    /// Callers: an open-loop load generator that checks every answer.
     Caller(CallerArgs),
-    /// Checks what workers and callers wrote down against the promises.
+    /// Checks the journals of workers and callers for broken promises.
     Judge(JudgeArgs),
-    /// Draws plots of what the measurement scripts printed.
+    /// Draws plots from the output of the measurement scripts.
     Plot(PlotArgs),
 }
 
 /// The transactional table and the object store.
 #[derive(Debug, ClapArgs)]
 pub struct TableArgs {
-    /// Where to listen.
+    /// The listen address.
     #[arg(long)]
     pub listen: SocketAddr,
 }
 
-/// The lagging list of boxes.
+/// The list of boxes, which shows changes with a delay.
 #[derive(Debug, ClapArgs)]
 pub struct BoxListArgs {
-    /// Where to listen.
+    /// The listen address.
     #[arg(long)]
     pub listen: SocketAddr,
-    /// The boxes, as TOML.
+    /// The TOML file that lists the boxes.
     #[arg(long)]
     pub fleet: PathBuf,
-    /// How late changes show, in milliseconds.
+    /// The delay until a change becomes visible, in milliseconds.
     #[arg(long, default_value_t = 1000)]
     pub lag_ms: u64,
 }
@@ -55,111 +55,111 @@
 /// A worker with its endpoint.
 #[derive(Debug, ClapArgs)]
 pub struct WorkerArgs {
-    /// Its name.
+    /// The id of the worker.
     #[arg(long)]
     pub id: String,
-    /// Where its control interface listens.
+    /// The listen address of the control interface.
     #[arg(long)]
     pub control: SocketAddr,
-    /// Where its endpoint listens.
+    /// The listen address of the endpoint.
     #[arg(long)]
     pub endpoint: SocketAddr,
-    /// Its processors, as `16` or `500m`.
+    /// The CPU capacity, in cores as `16` or in thousandths of a core as `500m`.
     #[arg(long, default_value = "16")]
     pub cpu: String,
-    /// Its memory, as `60GiB`.
+    /// The memory capacity, as `60GiB`.
     #[arg(long, default_value = "60GiB")]
     pub memory: String,
-    /// Its accelerators.
+    /// The number of accelerators.
     #[arg(long, default_value = "0")]
     pub accelerators: String,
-    /// How many requests its endpoint runs at a time.
+    /// The maximum number of requests that the endpoint runs at a time.
     #[arg(long, default_value_t = 8)]
     pub slots: usize,
-    /// How many requests its endpoint keeps waiting before it refuses.
+    /// The maximum number of waiting requests. The endpoint rejects further ones.
     #[arg(long, default_value_t = 8)]
     pub backlog: usize,
-    /// How many connections its endpoint accepts.
+    /// The maximum number of connections that the endpoint accepts.
     #[arg(long, default_value_t = 60)]
     pub connections: usize,
-    /// How long a request takes when it doesn't say, in microseconds.
+    /// The run time of requests that do not set one, in microseconds.
     #[arg(long, default_value_t = 2000)]
     pub work_us: u64,
-    /// How much slower its endpoint is than others.
+    /// The factor by which the endpoint is slower than others.
     #[arg(long, default_value_t = 1.0)]
     pub slowness: f64,
-    /// How late usage is reported, in milliseconds.
+    /// The delay until usage is reported, in milliseconds.
     #[arg(long, default_value_t = 2000)]
     pub report_lag_ms: u64,
-    /// The file that records what it did.
+    /// The journal file of the worker.
     #[arg(long)]
     pub journal: PathBuf,
-    /// How classes disturb each other, as TOML tables `[victim] aggressor = 0.5`.
+    /// The TOML file with the slowdowns between classes, as tables `[victim] aggressor = 0.5`.
     #[arg(long)]
     pub effects: Option<PathBuf>,
     /// Fail every task.
     #[arg(long)]
     pub fail_tasks: bool,
-    /// How requests go wrong.
+    /// The fault of the endpoint.
     #[arg(long, default_value = "none")]
     pub fault: EndpointFault,
-    /// Every how many requests the fault strikes.
+    /// The interval of the fault: 1 affects each request, 3 every third one.
     #[arg(long, default_value_t = 1)]
     pub fault_every: u64,
 }
 
-/// How an endpoint's answers go wrong.
+/// The fault of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum EndpointFault {
-    /// They don't.
+    /// No fault.
     None,
-    /// The connection closes after the request was read and run.
+    /// The endpoint closes the connection after it has read and run the request.
     CloseAfterRun,
     /// The body ends before its announced length.
     Truncate,
-    /// The answer carries another request's id and body.
+    /// The answer contains the id and the body of another request.
     Swap,
-    /// Every request is answered with status 500 at once.
+    /// The endpoint answers with status 500 immediately.
     FailFast,
-    /// The answer comes after the caller's deadline.
+    /// The answer arrives after the deadline of the caller.
     Late,
 }
 
-/// Callers: an open-loop load that checks every answer.
+/// Callers: an open-loop load generator that checks every answer.
 #[derive(Debug, ClapArgs)]
 pub struct CallerArgs {
-    /// The entry boxes, or an endpoint for a direct call.
+    /// The addresses of the entry boxes, or of an endpoint for direct calls.
     #[arg(long, required = true, value_delimiter = ',')]
     pub targets: Vec<SocketAddr>,
     /// The service to call.
     #[arg(long)]
     pub service: String,
-    /// How many requests a second.
+    /// The number of requests per second.
     #[arg(long, default_value_t = 50.0)]
     pub rate: f64,
-    /// How many requests in all.
+    /// The total number of requests.
     #[arg(long, default_value_t = 500)]
     pub count: u64,
-    /// How many of a hundred must not be repeated.
+    /// The percentage of requests that must not run more than once.
     #[arg(long, default_value_t = 50)]
     pub once_percent: u32,
-    /// How many of a hundred of those are sent again, by another entry box, when the
-    /// answer was not `done`.
+    /// The percentage of those requests that are sent again to another entry box if the answer was not
+    /// `done`.
     #[arg(long, default_value_t = 0)]
     pub resend_percent: u32,
-    /// How long each may take, in milliseconds.
+    /// The timeout of each request, in milliseconds.
     #[arg(long, default_value_t = 1000)]
     pub timeout_ms: u64,
-    /// How long each takes at the endpoint, in microseconds.
+    /// The run time of each request at the endpoint, in microseconds.
     #[arg(long, default_value_t = 2000)]
     pub work_us: u64,
-    /// How many bytes each answer has.
+    /// The size of each answer, in bytes.
     #[arg(long, default_value_t = 200)]
     pub answer_bytes: usize,
-    /// The file that records each answer.
+    /// The journal file of the answers.
     #[arg(long)]
     pub journal: Option<PathBuf>,
-    /// The start of each request's id.
+    /// The prefix of the request ids.
     #[arg(long, default_value = "r")]
     pub prefix: String,
     /// The seed of the arrival times.
@@ -167,27 +167,27 @@
     pub seed: u64,
 }
 
-/// Checks what workers and callers wrote down against the promises.
+/// Checks the journals of workers and callers for broken promises.
 #[derive(Debug, ClapArgs)]
 pub struct JudgeArgs {
-    /// What workers wrote down.
+    /// The journal files of the workers.
     #[arg(long, value_delimiter = ',')]
     pub workers: Vec<PathBuf>,
-    /// What callers wrote down.
+    /// The journal files of the callers.
     #[arg(long, value_delimiter = ',')]
     pub callers: Vec<PathBuf>,
-    /// A job each of whose tasks must have run to its end exactly once, as `name:tasks`.
+    /// A job whose tasks must each have completed exactly once, as `name:tasks`.
     #[arg(long)]
     pub job: Vec<String>,
 }
 
-/// Draws plots of what the measurement scripts printed.
+/// Draws plots from the output of the measurement scripts.
 #[derive(Debug, ClapArgs)]
 pub struct PlotArgs {
-    /// What `scripts/measure-requests load` printed.
+    /// The file with the output of `scripts/measure-requests load`.
     #[arg(long)]
     pub from: PathBuf,
-    /// The folder that gets the plots.
+    /// The folder to which the plots are written.
     #[arg(long)]
     pub to: PathBuf,
 }
--- a/crates/kitetrail-standins/src/caller.rs
+++ b/crates/kitetrail-standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: an open-loop load that checks every answer.
+//! Callers: an open-loop load generator that checks every answer.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -26,15 +26,17 @@
     worker::expected_body,
 };
 
-/// How long an unused connection is kept: less than boxes keep theirs (5 s), so that none is closed as it
-/// is used.
+/// The time after which an idle connection is closed.
+///
+/// It is shorter than the idle timeout of boxes (5 s), so that no box closes a connection that is about
+/// to be used.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How much longer than its deadline a caller waits before it calls an answer missing.
-const PATIENCE: Duration = Duration::from_millis(2_000);
+/// The time that a caller waits for an answer after the deadline before it counts as missing.
+const RESPONSE_GRACE: Duration = Duration::from_millis(2_000);
 /// The body of each request that must not be repeated.
 const BODY: &[u8] = b"a bid, or the hold of a seat";
 
-/// What a load came to.
+/// The results of a load.
 #[derive(Debug, Serialize)]
 struct Summary {
     sent: u64,
@@ -51,14 +53,14 @@
     goodput_per_s: f64,
 }
 
-struct Load {
+struct LoadGenerator {
     args: CallerArgs,
     client: Client<HttpConnector, Full<Bytes>>,
     results: RefCell<Results>,
 }
 
 struct Results {
-    /// How many good answers came while requests were still being sent.
+    /// The number of correct answers in time that arrived before the last request was sent.
     good_in_window: u64,
     journal: Option<Journal>,
     done: Histogram<u64>,
@@ -76,7 +78,7 @@
     late: u64,
 }
 
-/// Runs the load and prints what it came to. Fails if any answer was wrong.
+/// Runs the load and prints a summary. Returns an error if any answer was wrong.
 pub async fn run(args: CallerArgs) -> Result<(), StandinError> {
     let local = LocalSet::new();
     local.run_until(run_load(args)).await
@@ -84,31 +86,31 @@
 
 async fn run_load(args: CallerArgs) -> Result<(), StandinError> {
     let journal = args.journal.as_deref().map(Journal::open).transpose()?;
-    let load = Rc::new(Load::new(args, journal)?);
-    let mut rng = ChaCha8Rng::seed_from_u64(load.args.seed);
+    let generator = Rc::new(LoadGenerator::new(args, journal)?);
+    let mut rng = ChaCha8Rng::seed_from_u64(generator.args.seed);
     let start = Instant::now();
-    let mut at_s = 0.0;
+    let mut offset_s = 0.0;
     let mut calls = Vec::new();
-    for number in 0..load.args.count {
-        let gap: f64 = rng.random();
-        at_s -= (1.0 - gap).ln() / load.args.rate;
-        let intended = start + Duration::from_secs_f64(at_s);
+    for number in 0..generator.args.count {
+        let uniform: f64 = rng.random();
+        offset_s -= (1.0 - uniform).ln() / generator.args.rate;
+        let intended = start + Duration::from_secs_f64(offset_s);
         tokio::time::sleep_until(intended).await;
-        let once = rng.random_range(0..100) < load.args.once_percent;
-        let resend = rng.random_range(0..100) < load.args.resend_percent;
-        let target = rng.random_range(0..load.args.targets.len());
-        let call = Rc::clone(&load).call(number, once, resend, target, intended);
+        let once = rng.random_range(0..100) < generator.args.once_percent;
+        let resend = rng.random_range(0..100) < generator.args.resend_percent;
+        let target = rng.random_range(0..generator.args.targets.len());
+        let call = Rc::clone(&generator).call(number, once, resend, target, intended);
         calls.push(tokio::task::spawn_local(call));
     }
-    let sending = start.elapsed();
-    load.results.borrow_mut().close_window();
+    let sending_time = start.elapsed();
+    generator.results.borrow_mut().end_sending_window();
     for call in calls {
         let _ = call.await;
     }
-    load.report(sending)
+    generator.report(sending_time)
 }
 
-impl Load {
+impl LoadGenerator {
     fn new(args: CallerArgs, journal: Option<Journal>) -> Result<Self, StandinError> {
         let histogram =
             || Histogram::new(3).map_err(|error| StandinError::Invalid(error.to_string()));
@@ -147,11 +149,11 @@
             }
         }
         entry.latency_us = intended.elapsed().as_micros() as u64;
-        self.results.borrow_mut().add(entry, self.args.timeout_ms);
+        self.results.borrow_mut().record(entry, self.args.timeout_ms);
     }
 
     async fn send(&self, id: &str, once: bool, target: usize) -> CallerEntry {
-        let limit = Duration::from_millis(self.args.timeout_ms) + PATIENCE;
+        let limit = Duration::from_millis(self.args.timeout_ms) + RESPONSE_GRACE;
         let mut entry = CallerEntry {
             request: id.to_owned(),
             once,
@@ -166,14 +168,14 @@
         match answer {
             Ok(Ok((status, headers, body))) => {
                 entry.status = status;
-                entry.outcome = outcome(&headers, status);
-                entry.retry_after_ms = retry_after_ms(&headers);
+                entry.outcome = read_outcome(&headers, status);
+                entry.retry_after_ms = read_retry_after_ms(&headers);
                 if entry.outcome == "done" {
-                    entry.fault = self.find_fault(id, once, &headers, &body);
+                    entry.fault = self.check_answer(id, once, &headers, &body);
                 }
             }
             Ok(Err(error)) => entry.error = Some(error.to_string()),
-            Err(_) => entry.error = Some(format!("nothing came within {limit:?}")),
+            Err(_) => entry.error = Some(format!("no response within {limit:?}")),
         }
         entry
     }
@@ -184,7 +186,7 @@
         once: bool,
         target: usize,
     ) -> Result<(u16, HeaderMap, Bytes), StandinError> {
-        let failed = |error: String| StandinError::Invalid(error);
+        let to_error = |error: String| StandinError::Invalid(error);
         let uri =
             format!("http://{}/services/{}/call", self.args.targets[target], self.args.service);
         let mut request = Request::builder()
@@ -197,14 +199,20 @@
             request = request.method(Method::POST).header(headers::IDEMPOTENCY_KEY, id);
         }
         let body = if once { Bytes::from_static(BODY) } else { Bytes::new() };
-        let request = request.body(Full::new(body)).map_err(|e| failed(e.to_string()))?;
-        let response = self.client.request(request).await.map_err(|e| failed(e.to_string()))?;
+        let request = request.body(Full::new(body)).map_err(|e| to_error(e.to_string()))?;
+        let response = self.client.request(request).await.map_err(|e| to_error(e.to_string()))?;
         let (parts, body) = response.into_parts();
-        let body = body.collect().await.map_err(|e| failed(e.to_string()))?.to_bytes();
+        let body = body.collect().await.map_err(|e| to_error(e.to_string()))?.to_bytes();
         Ok((parts.status.as_u16(), parts.headers, body))
     }
 
-    fn find_fault(&self, id: &str, once: bool, headers: &HeaderMap, body: &[u8]) -> Option<String> {
+    fn check_answer(
+        &self,
+        id: &str,
+        once: bool,
+        headers: &HeaderMap,
+        body: &[u8],
+    ) -> Option<String> {
         let received = if once { BODY.len() } else { 0 };
         let expected = expected_body(id, received, self.args.answer_bytes);
         let echoed = headers.get(headers::REQUEST_ID).and_then(|value| value.to_str().ok());
@@ -212,13 +220,13 @@
             Some(echoed) if echoed != id => Some(format!("answer to {echoed}")),
             None => Some("answer without request id".to_owned()),
             Some(_) if body != expected => {
-                Some(format!("{} bytes in place of {}", body.len(), expected.len()))
+                Some(format!("wrong body: {} bytes, expected {}", body.len(), expected.len()))
             }
             Some(_) => None,
         }
     }
 
-    fn report(&self, sending: Duration) -> Result<(), StandinError> {
+    fn report(&self, sending_time: Duration) -> Result<(), StandinError> {
         let results = self.results.borrow();
         let Counts { done, not_run, unknown, missing, wrong, late } = results.counts;
         let summary = Summary {
@@ -233,23 +241,23 @@
             p99_us: results.done.value_at_quantile(0.99),
             p999_us: results.done.value_at_quantile(0.999),
             refused_p50_us: results.refused.value_at_quantile(0.5),
-            goodput_per_s: results.good_in_window as f64 / sending.as_secs_f64(),
+            goodput_per_s: results.good_in_window as f64 / sending_time.as_secs_f64(),
         };
         println!("{}", serde_json::to_string(&summary).unwrap_or_default());
         match wrong {
             0 => Ok(()),
-            _ => Err(StandinError::Broken(format!("{wrong} answers were wrong"))),
+            _ => Err(StandinError::PromiseBroken(format!("{wrong} answers were wrong"))),
         }
     }
 }
 
 impl Results {
-    /// Notes that the last request was sent.
-    fn close_window(&mut self) {
+    /// Ends the period for which goodput is computed. Called when the last request was sent.
+    fn end_sending_window(&mut self) {
         self.good_in_window = self.counts.done - self.counts.late;
     }
 
-    fn add(&mut self, entry: CallerEntry, timeout_ms: u64) {
+    fn record(&mut self, entry: CallerEntry, timeout_ms: u64) {
         let counts = &mut self.counts;
         match entry.outcome.as_str() {
             "done" if entry.fault.is_some() => counts.wrong += 1,
@@ -271,18 +279,20 @@
     }
 }
 
-/// What an answer says of itself. An endpoint's own answer says nothing and is done.
-fn outcome(headers: &HeaderMap, status: u16) -> String {
-    let said = headers.get(headers::OUTCOME).and_then(|value| value.to_str().ok());
-    match said {
-        Some(said) => said.to_owned(),
+/// Returns the outcome that a response states.
+///
+/// Responses that come directly from an endpoint state no outcome; status 200 means `done`.
+fn read_outcome(headers: &HeaderMap, status: u16) -> String {
+    let stated = headers.get(headers::OUTCOME).and_then(|value| value.to_str().ok());
+    match stated {
+        Some(stated) => stated.to_owned(),
         None if status == 200 => "done".to_owned(),
         None => "unknown".to_owned(),
     }
 }
 
-/// When an answer says to come back.
-fn retry_after_ms(headers: &HeaderMap) -> Option<u64> {
+/// Returns the time after which a response allows another attempt, in milliseconds.
+fn read_retry_after_ms(headers: &HeaderMap) -> Option<u64> {
     let seconds = headers.get(RETRY_AFTER)?.to_str().ok()?.parse::<u64>().ok()?;
     Some(seconds * 1_000)
 }
--- a/crates/kitetrail-standins/src/journal.rs
+++ b/crates/kitetrail-standins/src/journal.rs
@@ -1,4 +1,4 @@
-//! What stand-ins write down, for the judge to read.
+//! The journals of the stand-ins, which the judge checks.
 
 use std::{
     fs::File,
@@ -12,13 +12,13 @@
 
 use crate::server::StandinError;
 
-/// One thing a worker did.
+/// An event in the journal of a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum WorkerEvent {
     /// The worker started.
     Boot {
-        /// What it has.
+        /// The capacity of the worker.
         capacity: Resources,
     },
     /// A task started.
@@ -27,11 +27,11 @@
         task: TaskId,
         /// The run.
         attempt: Attempt,
-        /// Whether a second copy would break a promise.
+        /// Whether running a second copy at the same time would break a promise.
         exclusive: bool,
-        /// What it takes.
+        /// The resources that the task uses.
         size: Resources,
-        /// The progress it resumed from, in milliseconds of work.
+        /// The progress from which the task resumed, in milliseconds of work.
         resume_ms: u64,
     },
     /// A task stopped.
@@ -40,69 +40,69 @@
         task: TaskId,
         /// The run.
         attempt: Attempt,
-        /// Whether it ran to its end.
+        /// Whether the task completed.
         done: bool,
-        /// The progress it saved, in milliseconds of work.
+        /// The progress saved in the last checkpoint, in milliseconds of work.
         checkpoint_ms: u64,
-        /// The progress it made and did not save, in milliseconds of work.
+        /// The unsaved progress that was lost, in milliseconds of work.
         lost_ms: u64,
     },
-    /// The worker was killed. Whoever killed it writes this.
+    /// The worker was killed. The process that killed it writes this event.
     Killed,
-    /// A request began to run.
+    /// A request started to run.
     Execute {
         /// The request's id.
         request: String,
     },
 }
 
-/// An event with its time on the clock all stand-ins of one machine share.
+/// An event with its time on the system clock, which all stand-ins of a machine share.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerEntry {
-    /// When, in milliseconds.
+    /// The time of the event, in milliseconds.
     pub at_ms: u64,
-    /// The event.
+    /// The event itself.
     #[serde(flatten)]
     pub event: WorkerEvent,
 }
 
-/// One request as its caller saw it.
+/// A request from the point of view of its caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerEntry {
     /// The request's id.
     pub request: String,
-    /// Whether it must not run more than once.
+    /// Whether the request must not run more than once.
     pub once: bool,
-    /// What the caller was told: `done`, `not-run`, `unknown`, or `none` without answer.
+    /// The outcome of the answer: `done`, `not-run` or `unknown`, or `none` without an answer.
     pub outcome: String,
-    /// The HTTP status, zero without answer.
+    /// The HTTP status, or 0 without an answer.
     pub status: u16,
-    /// Why there is no answer, if there is none.
+    /// The reason why there is no answer, if there is none.
     #[serde(default)]
     pub error: Option<String>,
-    /// What was wrong with the answer, if anything.
+    /// The error in the answer, if any.
     pub fault: Option<String>,
-    /// When to come back, if the answer said so, in milliseconds.
+    /// The time after which the answer allows another attempt, in milliseconds.
     pub retry_after_ms: Option<u64>,
-    /// How long it took from the intended moment of sending, in microseconds.
+    /// The latency from the scheduled time of sending, in microseconds.
     pub latency_us: u64,
 }
 
-/// A file to which entries are added one by one.
+/// A file to which entries are appended.
 #[derive(Debug)]
 pub struct Journal {
     file: File,
 }
 
 impl Journal {
-    /// Opens a file and adds to what it holds.
+    /// Opens or creates a journal file. New entries are appended to existing ones.
     pub fn open(path: &Path) -> Result<Self, StandinError> {
         let what = format!("can't open {}", path.display());
         let file = File::options().create(true).append(true).open(path);
         Ok(Self { file: file.map_err(|cause| StandinError::Io { what, cause })? })
     }
 
-    /// Adds an entry in one write, so that a kill leaves no half line behind.
+    /// Appends an entry in a single write, so that a killed process leaves no partial line.
     pub fn add(&mut self, entry: &impl Serialize) {
         let mut line = serde_json::to_vec(entry).unwrap_or_default();
         line.push(b'\n');
@@ -112,8 +112,8 @@
     }
 }
 
-/// The time on the clock all stand-ins of one machine share, in milliseconds.
+/// Returns the time on the system clock, which all stand-ins of a machine share, in milliseconds.
 pub fn shared_clock_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    since.as_millis() as u64
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    since_epoch.as_millis() as u64
 }
--- a/crates/kitetrail-standins/src/judge.rs
+++ b/crates/kitetrail-standins/src/judge.rs
@@ -1,4 +1,4 @@
-//! Checks what workers and callers wrote down against the promises.
+//! Checks the journals of workers and callers for broken promises.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -14,7 +14,7 @@
     server::StandinError,
 };
 
-/// The time one run of a task spent on a worker.
+/// The period of a run of a task on a worker.
 #[derive(Debug)]
 struct Interval {
     worker: PathBuf,
@@ -23,36 +23,36 @@
     until_ms: u64,
 }
 
-/// What all workers wrote down.
+/// The merged contents of the journals of all workers, and the breaches found in them.
 #[derive(Debug, Default)]
-struct Evidence {
+struct Journals {
     exclusive: BTreeMap<TaskId, Vec<Interval>>,
     completions: BTreeMap<TaskId, u32>,
     executions: HashMap<String, u32>,
     breaches: Vec<String>,
 }
 
-/// Prints every breach of a promise. Fails if there was one.
+/// Prints every breach of a promise. Returns an error if there is any.
 pub fn run(args: &JudgeArgs) -> Result<(), StandinError> {
-    let mut evidence = Evidence::default();
+    let mut journals = Journals::default();
     for path in &args.workers {
-        evidence.add_worker(path, read_entries(path)?);
+        journals.add_worker(path, read_entries(path)?);
     }
-    evidence.check_overlaps();
+    journals.check_overlaps();
     for path in &args.callers {
-        evidence.check_answers(&read_entries::<CallerEntry>(path)?);
+        journals.check_answers(&read_entries::<CallerEntry>(path)?);
     }
     for job in &args.job {
-        evidence.check_job(job)?;
+        journals.check_job(job)?;
     }
-    for breach in &evidence.breaches {
+    for breach in &journals.breaches {
         println!("breach: {breach}");
     }
-    let (runs, executions) = (evidence.exclusive.len(), evidence.executions.len());
-    println!("judged {runs} exclusive tasks and {executions} requests");
-    match evidence.breaches.len() {
+    let (tasks, executions) = (journals.exclusive.len(), journals.executions.len());
+    println!("checked {tasks} exclusive tasks and {executions} requests");
+    match journals.breaches.len() {
         0 => Ok(()),
-        count => Err(StandinError::Broken(format!("{count} promises were broken"))),
+        count => Err(StandinError::PromiseBroken(format!("{count} promises were broken"))),
     }
 }
 
@@ -66,52 +66,52 @@
     text.lines().map(parse).collect()
 }
 
-impl Evidence {
-    /// Replays a worker's record: what it was given at each moment, and for how long.
+impl Journals {
+    /// Replays the journal of a worker to find the periods of its runs and its resource use over time.
     fn add_worker(&mut self, path: &Path, entries: Vec<WorkerEntry>) {
         let mut capacity = Resources::default();
-        let mut open: BTreeMap<(TaskId, Attempt), (Resources, bool, u64)> = BTreeMap::new();
+        let mut running: BTreeMap<(TaskId, Attempt), (Resources, bool, u64)> = BTreeMap::new();
         let mut last_ms = 0;
         for WorkerEntry { at_ms, event } in entries {
             match event {
-                WorkerEvent::Boot { capacity: has } => {
-                    capacity = has;
-                    self.close_all(path, &mut open, last_ms);
+                WorkerEvent::Boot { capacity: new_capacity } => {
+                    capacity = new_capacity;
+                    self.end_all_runs(path, &mut running, last_ms);
                 }
                 WorkerEvent::Start { task, attempt, exclusive, size, .. } => {
-                    open.insert((task, attempt), (size, exclusive, at_ms));
-                    self.check_capacity(path, &open, &capacity, at_ms);
+                    running.insert((task, attempt), (size, exclusive, at_ms));
+                    self.check_capacity(path, &running, &capacity, at_ms);
                 }
                 WorkerEvent::Stop { task, attempt, done, .. } => {
                     if done {
                         *self.completions.entry(task.clone()).or_default() += 1;
                     }
-                    if let Some(run) = open.remove(&(task.clone(), attempt)) {
-                        self.close(path, task, attempt, run, at_ms);
+                    if let Some(run) = running.remove(&(task.clone(), attempt)) {
+                        self.end_run(path, task, attempt, run, at_ms);
                     }
                 }
-                WorkerEvent::Killed => self.close_all(path, &mut open, at_ms),
+                WorkerEvent::Killed => self.end_all_runs(path, &mut running, at_ms),
                 WorkerEvent::Execute { request } => {
                     *self.executions.entry(request).or_default() += 1;
                 }
             }
             last_ms = at_ms;
         }
-        self.close_all(path, &mut open, u64::MAX);
+        self.end_all_runs(path, &mut running, u64::MAX);
     }
 
-    fn close_all(
+    fn end_all_runs(
         &mut self,
         path: &Path,
-        open: &mut BTreeMap<(TaskId, Attempt), (Resources, bool, u64)>,
+        running: &mut BTreeMap<(TaskId, Attempt), (Resources, bool, u64)>,
         until_ms: u64,
     ) {
-        for ((task, attempt), run) in std::mem::take(open) {
-            self.close(path, task, attempt, run, until_ms);
+        for ((task, attempt), run) in std::mem::take(running) {
+            self.end_run(path, task, attempt, run, until_ms);
         }
     }
 
-    fn close(
+    fn end_run(
         &mut self,
         path: &Path,
         task: TaskId,
@@ -129,15 +129,15 @@
     fn check_capacity(
         &mut self,
         path: &Path,
-        open: &BTreeMap<(TaskId, Attempt), (Resources, bool, u64)>,
+        running: &BTreeMap<(TaskId, Attempt), (Resources, bool, u64)>,
         capacity: &Resources,
         at_ms: u64,
     ) {
-        let sizes = open.values().map(|(size, _, _)| size);
-        let given = sizes.fold(Resources::default(), |sum, size| sum.saturating_add(size));
-        if !given.fits_in(capacity) {
+        let sizes = running.values().map(|(size, _, _)| size);
+        let used = sizes.fold(Resources::default(), |sum, size| sum.saturating_add(size));
+        if !used.fits_in(capacity) {
             let worker = path.display();
-            let breach = format!("P1: {worker} was given {given} of {capacity} at {at_ms}");
+            let breach = format!("P1: {worker} uses {used} of {capacity} at {at_ms}");
             self.breaches.push(breach);
         }
     }
@@ -166,9 +166,13 @@
             let id = &answer.request;
             let breach = match answer.outcome.as_str() {
                 _ if answer.fault.is_some() => format!("P4: {id}: {:?}", answer.fault),
-                "not-run" if executions > 0 => format!("P5: {id} ran but was told not run"),
+                "not-run" if executions > 0 => {
+                    format!("P5: {id} ran but its answer states not-run")
+                }
                 _ if answer.once && executions > 1 => format!("P6: {id} ran {executions} times"),
-                "done" if executions == 0 => format!("P4: {id} done without having run"),
+                "done" if executions == 0 => {
+                    format!("P4: {id} did not run but its answer states done")
+                }
                 _ => continue,
             };
             self.breaches.push(breach);
@@ -176,14 +180,14 @@
     }
 
     fn check_job(&mut self, job: &str) -> Result<(), StandinError> {
-        let invalid = || StandinError::Invalid(format!("`{job}` is not `name:tasks`"));
-        let (name, tasks) = job.split_once(':').ok_or_else(invalid)?;
-        let tasks: u32 = tasks.parse().map_err(|_| invalid())?;
+        let invalid_argument = || StandinError::Invalid(format!("`{job}` is not `name:tasks`"));
+        let (name, tasks) = job.split_once(':').ok_or_else(invalid_argument)?;
+        let tasks: u32 = tasks.parse().map_err(|_| invalid_argument())?;
         for index in 0..tasks {
-            let task: TaskId = format!("{name}:{index}").parse().map_err(|_| invalid())?;
+            let task: TaskId = format!("{name}:{index}").parse().map_err(|_| invalid_argument())?;
             let completions = self.completions.get(&task).copied().unwrap_or(0);
             if completions != 1 {
-                self.breaches.push(format!("P3: {task} ran to its end {completions} times"));
+                self.breaches.push(format!("P3: {task} completed {completions} times"));
             }
         }
         Ok(())
--- a/crates/kitetrail-standins/src/lib.rs
+++ b/crates/kitetrail-standins/src/lib.rs
@@ -1,7 +1,7 @@
 //! Small stand-ins for the platform, used by tests and the quickstart.
 //!
-//! Each runs as a process of its own. The models behind them are plain state machines,
-//! so that tests on virtual time can use the same ones.
+//! Each stand-in runs as a process of its own. The underlying models are plain state machines, so that
+//! tests with virtual time can use the same models.
 
 pub mod args;
 pub mod box_list;
--- a/crates/kitetrail-standins/src/main.rs
+++ b/crates/kitetrail-standins/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in.
+//! Runs a stand-in for a platform service.
 
 use std::process::ExitCode;
 
--- a/crates/kitetrail-standins/src/server.rs
+++ b/crates/kitetrail-standins/src/server.rs
@@ -24,60 +24,62 @@
 use thiserror::Error;
 use tokio::{net::TcpListener, task::LocalSet};
 
-/// What stops a stand-in.
+/// The error with which a stand-in ends.
 #[derive(Debug, Error)]
 pub enum StandinError {
     /// A file or socket failed.
     #[error("{what}: {cause}")]
     Io {
-        /// What was tried.
+        /// The operation that failed.
         what: String,
-        /// What the system said.
+        /// The error of the operating system.
         cause: io::Error,
     },
-    /// An argument or file can't be read.
+    /// An argument or the contents of a file are invalid.
     #[error("{0}")]
     Invalid(String),
-    /// A promise was broken.
+    /// The journals or answers show a broken promise.
     #[error("{0}")]
-    Broken(String),
+    PromiseBroken(String),
 }
 
-/// The answer to a request, or `None` to close the connection without one.
+/// The response to a request, or `None` to close the connection without a response.
 pub type Answer = Option<Response<AnswerBody>>;
 
-/// The connection was closed on purpose.
+/// The error that makes the server close a connection deliberately.
 #[derive(Debug, Error)]
-#[error("closed on purpose")]
-pub struct Closed;
+#[error("the connection was closed deliberately")]
+pub struct ConnectionClosed;
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All of it.
-    Whole(Full<Bytes>),
-    /// Some bytes, and then the connection closes.
-    Broken {
-        /// The bytes, until they were sent.
+    /// The complete body.
+    Complete(Full<Bytes>),
+    /// A part of the body, after which the connection is closed.
+    Truncated {
+        /// The bytes to send; `None` after they were passed to the connection.
         bytes: Option<Bytes>,
-        /// Whether the connection was left the time to send them.
+        /// Whether the connection got the time to send the bytes.
         flushed: bool,
     },
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Closed;
+    type Error = ConnectionClosed;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Closed>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ConnectionClosed>>> {
         match self.get_mut() {
-            Self::Whole(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
-            Self::Broken { bytes, flushed } => match bytes.take() {
+            Self::Complete(body) => {
+                Pin::new(body).poll_frame(context).map_err(|never| match never {})
+            }
+            Self::Truncated { bytes, flushed } => match bytes.take() {
                 Some(bytes) => Poll::Ready(Some(Ok(Frame::data(bytes)))),
-                None if *flushed => Poll::Ready(Some(Err(Closed))),
+                None if *flushed => Poll::Ready(Some(Err(ConnectionClosed))),
                 None => {
                     *flushed = true;
                     context.waker().wake_by_ref();
@@ -89,19 +91,19 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
-            Self::Broken { .. } => SizeHint::default(),
+            Self::Complete(body) => body.size_hint(),
+            Self::Truncated { .. } => SizeHint::default(),
         }
     }
 }
 
 impl From<Bytes> for AnswerBody {
     fn from(bytes: Bytes) -> Self {
-        Self::Whole(Full::new(bytes))
+        Self::Complete(Full::new(bytes))
     }
 }
 
-/// Answers requests until the process ends.
+/// Serves requests until the process ends.
 pub async fn serve<H, F>(listen: SocketAddr, handler: H) -> Result<(), StandinError>
 where
     H: Fn(Request<Incoming>) -> F + 'static,
@@ -112,11 +114,11 @@
     let listener = listener.map_err(|cause| StandinError::Io { what, cause })?;
     let handler = Rc::new(handler);
     let local = LocalSet::new();
-    local.run_until(accept(listener, handler)).await;
+    local.run_until(accept_connections(listener, handler)).await;
     Ok(())
 }
 
-async fn accept<H, F>(listener: TcpListener, handler: Rc<H>)
+async fn accept_connections<H, F>(listener: TcpListener, handler: Rc<H>)
 where
     H: Fn(Request<Incoming>) -> F + 'static,
     F: Future<Output = Answer> + 'static,
@@ -131,7 +133,7 @@
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request| {
                 let answer = handler(request);
-                async move { answer.await.ok_or(Closed) }
+                async move { answer.await.ok_or(ConnectionClosed) }
             });
             let mut builder = http1::Builder::new();
             let connection = builder.timer(TokioTimer::new());
@@ -140,27 +142,28 @@
     }
 }
 
-/// An answer with a JSON body.
-pub fn json(body: &impl Serialize) -> Answer {
+/// Returns a response with a JSON body.
+pub fn json_response(body: &impl Serialize) -> Answer {
     let body = serde_json::to_vec(body).unwrap_or_default();
     let response = Response::builder().header(CONTENT_TYPE, "application/json");
     response.body(Bytes::from(body).into()).ok()
 }
 
-/// An answer with a status and a line of text.
-pub fn text(status: StatusCode, body: impl Into<Bytes>) -> Answer {
+/// Returns a response with a status and a text body.
+pub fn text_response(status: StatusCode, body: impl Into<Bytes>) -> Answer {
     Response::builder().status(status).body(body.into().into()).ok()
 }
 
-/// The JSON a request carries.
+/// Parses the JSON body of a request. The error is the response to send.
 pub async fn read_json<T: DeserializeOwned>(request: Request<Incoming>) -> Result<T, Answer> {
-    let bad = |cause: String| text(StatusCode::BAD_REQUEST, cause);
-    let body = request.into_body().collect().await.map_err(|error| bad(error.to_string()))?;
-    serde_json::from_slice(&body.to_bytes()).map_err(|error| bad(error.to_string()))
+    let bad_request = |cause: String| text_response(StatusCode::BAD_REQUEST, cause);
+    let body =
+        request.into_body().collect().await.map_err(|error| bad_request(error.to_string()))?;
+    serde_json::from_slice(&body.to_bytes()).map_err(|error| bad_request(error.to_string()))
 }
 
-/// The value of one parameter of a request's query.
-pub fn query<'a>(request: &'a Request<Incoming>, name: &str) -> Option<&'a str> {
+/// Returns the value of a query parameter of a request.
+pub fn query_parameter<'a>(request: &'a Request<Incoming>, name: &str) -> Option<&'a str> {
     let pairs = request.uri().query()?.split('&');
     pairs.filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name).map(|(_, v)| v)
 }
--- a/crates/kitetrail-standins/src/table.rs
+++ b/crates/kitetrail-standins/src/table.rs
@@ -21,23 +21,25 @@
 
 use crate::{
     args::TableArgs,
-    server::{Answer, StandinError, json, query, read_json, serve, text},
+    server::{
+        Answer, StandinError, json_response, query_parameter, read_json, serve, text_response,
+    },
 };
 
-/// A row with contents that the table does not look into.
+/// A row whose contents are opaque to the table.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OpaqueRow {
-    /// Its name.
+    /// The key of the row.
     pub key: Key,
-    /// Its version.
+    /// The version of the row.
     pub version: Version,
-    /// The write that gave it this version.
+    /// The operation that wrote this version.
     pub op: OpId,
-    /// Its contents.
+    /// The contents of the row.
     pub record: Value,
 }
 
-/// A transaction with contents that the table does not look into.
+/// A transaction whose written contents are opaque to the table.
 #[derive(Debug, Clone, Deserialize)]
 pub struct OpaqueTransaction {
     op: OpId,
@@ -51,40 +53,40 @@
     record: Option<Value>,
 }
 
-/// The rows and how they change.
+/// The model of the transactional table.
 #[derive(Debug, Default)]
 pub struct TableModel {
     rows: BTreeMap<Key, OpaqueRow>,
     version: Version,
-    /// How many reads were asked.
+    /// The number of reads.
     pub reads: u64,
-    /// How many transactions took effect.
+    /// The number of committed transactions.
     pub commits: u64,
-    /// How many rows those changed.
+    /// The number of rows that committed transactions wrote or removed.
     pub rows_written: u64,
 }
 
 impl TableModel {
-    /// The row of a name.
+    /// Returns the row with a key.
     pub fn read(&mut self, key: &str) -> Option<&OpaqueRow> {
         self.reads += 1;
         self.rows.get(&Key::from_name(key))
     }
 
-    /// All rows whose names start alike.
+    /// Returns all rows whose keys start with a prefix.
     pub fn scan(&mut self, prefix: &str) -> Vec<OpaqueRow> {
         self.reads += 1;
         let rows = self.rows.values().filter(|row| row.key.as_str().starts_with(prefix));
         rows.cloned().collect()
     }
 
-    /// Carries a transaction out if all its conditions hold.
+    /// Commits a transaction if all its conditions are satisfied.
     pub fn commit(&mut self, transaction: OpaqueTransaction) -> CommitAnswer {
-        let holds = |condition: &Condition| {
+        let is_satisfied = |condition: &Condition| {
             let version = self.rows.get(&condition.key).map(|row| row.version);
             version.unwrap_or_default() == condition.version
         };
-        if !transaction.conditions.iter().all(holds) {
+        if !transaction.conditions.iter().all(is_satisfied) {
             return CommitAnswer::Conflict;
         }
         self.version = self.version.next();
@@ -105,15 +107,15 @@
     }
 }
 
-/// How the service misbehaves.
+/// The injected faults of the service.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Refuse everything.
+    /// Whether the service rejects all requests.
     pub down: bool,
-    /// How long each answer takes, in milliseconds.
+    /// The delay of each response, in milliseconds.
     pub slow_ms: u64,
-    /// How many answers of a hundred transactions are lost after they took effect.
+    /// The percentage of transactions whose responses are lost after they were processed.
     pub lose_answers_percent: u32,
 }
 
@@ -132,7 +134,7 @@
     rows_written: u64,
 }
 
-/// Runs the stand-in.
+/// Runs the table and the object store until the process ends.
 pub async fn run(args: TableArgs) -> Result<(), StandinError> {
     let state = Rc::new(RefCell::new(State {
         table: TableModel::default(),
@@ -140,45 +142,45 @@
         faults: Faults::default(),
         rng: ChaCha8Rng::seed_from_u64(7),
     }));
-    serve(args.listen, move |request| answer(Rc::clone(&state), request)).await
+    serve(args.listen, move |request| handle_request(Rc::clone(&state), request)).await
 }
 
-async fn answer(state: Rc<RefCell<State>>, request: Request<Incoming>) -> Answer {
+async fn handle_request(state: Rc<RefCell<State>>, request: Request<Incoming>) -> Answer {
     let path = request.uri().path().to_owned();
     if path == "/v1/faults" {
         return set_faults(&state, request).await;
     }
     let Faults { down, slow_ms, .. } = state.borrow().faults.clone();
     if down {
-        return text(StatusCode::SERVICE_UNAVAILABLE, "the service is down");
+        return text_response(StatusCode::SERVICE_UNAVAILABLE, "the service is down");
     }
     if slow_ms > 0 {
         tokio::time::sleep(Duration::from_millis(slow_ms)).await;
     }
     match (request.method(), path.as_str()) {
-        (&Method::GET, "/v1/row") => match query(&request, "key") {
+        (&Method::GET, "/v1/row") => match query_parameter(&request, "key") {
             Some(key) => match state.borrow_mut().table.read(key) {
-                Some(row) => json(row),
-                None => text(StatusCode::NOT_FOUND, "no such row"),
+                Some(row) => json_response(row),
+                None => text_response(StatusCode::NOT_FOUND, "no such row"),
             },
-            None => text(StatusCode::BAD_REQUEST, "`key` is missing"),
+            None => text_response(StatusCode::BAD_REQUEST, "`key` is missing"),
         },
         (&Method::GET, "/v1/rows") => {
-            let prefix = query(&request, "prefix").unwrap_or_default();
+            let prefix = query_parameter(&request, "prefix").unwrap_or_default();
             let rows = state.borrow_mut().table.scan(prefix);
-            json(&serde_json::json!({ "rows": rows }))
+            json_response(&serde_json::json!({ "rows": rows }))
         }
         (&Method::GET, "/v1/stats") => {
             let table = &state.borrow().table;
             let (reads, commits) = (table.reads, table.commits);
-            json(&Stats { reads, commits, rows_written: table.rows_written })
+            json_response(&Stats { reads, commits, rows_written: table.rows_written })
         }
-        (&Method::POST, "/v1/transactions") => commit(&state, request).await,
+        (&Method::POST, "/v1/transactions") => handle_commit(&state, request).await,
         (method, path) if path.starts_with("/v1/objects/") => {
             let (method, path) = (method.clone(), path.to_owned());
-            object(&state, &method, path, request).await
+            handle_object(&state, &method, path, request).await
         }
-        _ => text(StatusCode::NOT_FOUND, "no such resource"),
+        _ => text_response(StatusCode::NOT_FOUND, "no such resource"),
     }
 }
 
@@ -186,13 +188,13 @@
     match read_json(request).await {
         Ok(faults) => {
             state.borrow_mut().faults = faults;
-            text(StatusCode::OK, "")
+            text_response(StatusCode::OK, "")
         }
         Err(answer) => answer,
     }
 }
 
-async fn commit(state: &RefCell<State>, request: Request<Incoming>) -> Answer {
+async fn handle_commit(state: &RefCell<State>, request: Request<Incoming>) -> Answer {
     let transaction = match read_json(request).await {
         Ok(transaction) => transaction,
         Err(answer) => return answer,
@@ -207,14 +209,16 @@
         return None;
     }
     match answer {
-        CommitAnswer::Committed(version) => json(&serde_json::json!({ "version": version })),
+        CommitAnswer::Committed(version) => {
+            json_response(&serde_json::json!({ "version": version }))
+        }
         CommitAnswer::Conflict | CommitAnswer::Unknown => {
-            text(StatusCode::CONFLICT, "a condition does not hold")
+            text_response(StatusCode::CONFLICT, "a condition is not satisfied")
         }
     }
 }
 
-async fn object(
+async fn handle_object(
     state: &RefCell<State>,
     method: &Method,
     path: String,
@@ -222,14 +226,14 @@
 ) -> Answer {
     match *method {
         Method::GET => match state.borrow().objects.get(&path) {
-            Some(contents) => text(StatusCode::OK, contents.clone()),
-            None => text(StatusCode::NOT_FOUND, "no such object"),
+            Some(contents) => text_response(StatusCode::OK, contents.clone()),
+            None => text_response(StatusCode::NOT_FOUND, "no such object"),
         },
         Method::PUT => {
             let contents = request.into_body().collect().await.ok()?.to_bytes();
             state.borrow_mut().objects.insert(path, contents);
-            text(StatusCode::OK, "")
+            text_response(StatusCode::OK, "")
         }
-        _ => text(StatusCode::METHOD_NOT_ALLOWED, "use GET or PUT"),
+        _ => text_response(StatusCode::METHOD_NOT_ALLOWED, "use GET or PUT"),
     }
 }
--- a/crates/kitetrail-standins/src/worker/control.rs
+++ b/crates/kitetrail-standins/src/worker/control.rs
@@ -1,4 +1,4 @@
-//! The processes' side of the worker: sockets, clock and journal.
+//! The worker as a process: sockets, clock and journal.
 
 use std::{
     cell::RefCell,
@@ -14,14 +14,14 @@
 use crate::{
     args::WorkerArgs,
     journal::{Journal, WorkerEntry, WorkerEvent, shared_clock_ms},
-    server::{Answer, StandinError, json, read_json, serve, text},
+    server::{Answer, StandinError, json_response, read_json, serve, text_response},
 };
 
-/// How often tasks make progress.
-const STEP: Duration = Duration::from_millis(20);
+/// The interval at which the tasks advance.
+const ADVANCE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How often usage is measured, in milliseconds.
-const SAMPLE_EVERY_MS: u64 = 2_000;
+/// The interval between usage samples, in milliseconds.
+const SAMPLE_INTERVAL_MS: u64 = 2_000;
 
 /// The state shared by the control interface and the endpoint.
 #[derive(Debug)]
@@ -33,25 +33,25 @@
 }
 
 impl Shared {
-    /// The worker's own clock, in milliseconds.
+    /// Returns the time on the clock of the worker, in milliseconds.
     fn clock_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Lets tasks progress up to now and writes down what happened.
+    /// Advances the tasks to the current time and writes the events to the journal.
     pub fn advance(&mut self) {
         let now_ms = self.clock_ms();
         self.model.advance(now_ms);
-        self.write_down();
+        self.write_events();
     }
 
-    /// Writes down that a request began to run.
-    pub fn note_execution(&mut self, request: &str) {
+    /// Records in the journal that a request started to run.
+    pub fn record_execution(&mut self, request: &str) {
         let event = WorkerEvent::Execute { request: request.to_owned() };
         self.journal.add(&WorkerEntry { at_ms: shared_clock_ms(), event });
     }
 
-    fn write_down(&mut self) {
+    fn write_events(&mut self) {
         for (at_ms, event) in self.model.take_events() {
             let at_ms = self.started_shared_ms + at_ms;
             self.journal.add(&WorkerEntry { at_ms, event });
@@ -59,9 +59,9 @@
     }
 }
 
-/// Runs the stand-in.
+/// Runs the worker until the process ends.
 pub async fn run(args: WorkerArgs) -> Result<(), StandinError> {
-    let settings = settings(&args)?;
+    let settings = build_settings(&args)?;
     let boot = shared_clock_ms();
     let shared = Rc::new(RefCell::new(Shared {
         model: WorkerModel::new(settings, boot, 0),
@@ -70,21 +70,21 @@
         started_shared_ms: shared_clock_ms(),
     }));
     let local = LocalSet::new();
-    let ticking = Rc::clone(&shared);
+    let ticker_state = Rc::clone(&shared);
     local.spawn_local(async move {
         loop {
-            ticking.borrow_mut().advance();
-            tokio::time::sleep(STEP).await;
+            ticker_state.borrow_mut().advance();
+            tokio::time::sleep(ADVANCE_INTERVAL).await;
         }
     });
     let control = Rc::clone(&shared);
-    let control = serve(args.control, move |request| answer(Rc::clone(&control), request));
+    let control = serve(args.control, move |request| handle_request(Rc::clone(&control), request));
     let endpoint = endpoint::run(&args, shared);
-    let both = async { tokio::try_join!(control, endpoint).map(|_| ()) };
-    local.run_until(both).await
+    let servers = async { tokio::try_join!(control, endpoint).map(|_| ()) };
+    local.run_until(servers).await
 }
 
-fn settings(args: &WorkerArgs) -> Result<WorkerSettings, StandinError> {
+fn build_settings(args: &WorkerArgs) -> Result<WorkerSettings, StandinError> {
     let invalid = |error: InvalidSize| StandinError::Invalid(error.to_string());
     let capacity = Resources {
         cpu_millis: args.cpu.parse().map_err(invalid)?,
@@ -102,25 +102,25 @@
     Ok(WorkerSettings {
         capacity,
         report_lag_ms: args.report_lag_ms,
-        sample_every_ms: SAMPLE_EVERY_MS,
+        sample_every_ms: SAMPLE_INTERVAL_MS,
         checkpoint_ms: 200,
         fail_tasks: args.fail_tasks,
         effects,
     })
 }
 
-async fn answer(shared: Rc<RefCell<Shared>>, request: Request<Incoming>) -> Answer {
+async fn handle_request(shared: Rc<RefCell<Shared>>, request: Request<Incoming>) -> Answer {
     match (request.method(), request.uri().path()) {
         (&Method::POST, "/v1/sync") => match read_json::<SyncRequest>(request).await {
             Ok(request) => {
                 let mut shared = shared.borrow_mut();
                 let now_ms = shared.clock_ms();
                 let reply = shared.model.sync(request, now_ms);
-                shared.write_down();
-                json(&reply)
+                shared.write_events();
+                json_response(&reply)
             }
             Err(answer) => answer,
         },
-        _ => text(StatusCode::NOT_FOUND, "no such resource"),
+        _ => text_response(StatusCode::NOT_FOUND, "no such resource"),
     }
 }
--- a/crates/kitetrail-standins/src/worker/effects.rs
+++ b/crates/kitetrail-standins/src/worker/effects.rs
@@ -1,18 +1,22 @@
-//! How much classes really disturb each other, which kitetrail has to find out.
+//! The actual interference between task classes, which kitetrail has to estimate.
 
 use std::collections::BTreeMap;
 
 use kitetrail_core::TaskClass;
 use serde::Deserialize;
 
-/// The slowdown that one task of a class adds to one of another: victim, then aggressor.
+/// The slowdown that a task of one class causes to a task of another, by victim and aggressor.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(transparent)]
 pub struct Effects(BTreeMap<TaskClass, BTreeMap<TaskClass, f64>>);
 
 impl Effects {
-    /// The effect of one task of class `beside` on one of class `victim`.
-    pub fn of(&self, victim: &TaskClass, beside: &TaskClass) -> f64 {
-        self.0.get(victim).and_then(|of| of.get(beside)).copied().unwrap_or(0.0)
+    /// Returns the slowdown that a task of class `aggressor` causes to a task of class `victim`.
+    pub fn of(&self, victim: &TaskClass, aggressor: &TaskClass) -> f64 {
+        self.0
+            .get(victim)
+            .and_then(|by_aggressor| by_aggressor.get(aggressor))
+            .copied()
+            .unwrap_or(0.0)
     }
 }
--- a/crates/kitetrail-standins/src/worker/mod.rs
+++ b/crates/kitetrail-standins/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! A worker with its endpoint.
+//! A worker and its endpoint.
 
 mod control;
 mod effects;
--- a/crates/kitetrail-standins/src/worker/model.rs
+++ b/crates/kitetrail-standins/src/worker/model.rs
@@ -1,4 +1,4 @@
-//! The worker as a state machine on its own clock.
+//! The worker as a state machine with its own clock.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,33 +11,33 @@
 use super::Effects;
 use crate::journal::WorkerEvent;
 
-/// How fast a throttled task runs, and how much it still disturbs others.
+/// The speed of a throttled task, and its remaining effect on others, relative to an unthrottled task.
 const THROTTLED_SPEED: f64 = 0.3;
-/// How long a task of a failing worker lasts, in milliseconds.
-const FAILS_AFTER_MS: f64 = 50.0;
-/// How often an answer is given in full although nothing but progress changed.
-const FULL_ANSWER_MS: u64 = 10_000;
-/// Classes whose name starts like this fail wherever they run.
-const FAILING_CLASS: &str = "fail";
+/// The progress after which a failing task fails, in milliseconds of work.
+const FAILING_TASK_RUN_MS: f64 = 50.0;
+/// The interval between full reports while nothing but progress changes, in milliseconds.
+const FULL_REPORT_INTERVAL_MS: u64 = 10_000;
+/// The prefix of classes whose tasks fail on every worker.
+const FAILING_CLASS_PREFIX: &str = "fail";
 
-/// The habits of a worker.
+/// The settings of a worker.
 #[derive(Debug, Clone)]
 pub struct WorkerSettings {
-    /// What it has.
+    /// The capacity of the worker.
     pub capacity: Resources,
-    /// How late usage is reported, in milliseconds.
+    /// The delay until usage is reported, in milliseconds.
     pub report_lag_ms: u64,
-    /// How often usage is measured, in milliseconds.
+    /// The interval between usage samples, in milliseconds.
     pub sample_every_ms: u64,
-    /// How long a checkpoint takes, in milliseconds.
+    /// The duration of a checkpoint, in milliseconds.
     pub checkpoint_ms: u64,
     /// Whether every task fails.
     pub fail_tasks: bool,
-    /// How classes disturb each other.
+    /// The interference between task classes.
     pub effects: Effects,
 }
 
-/// The worker's state.
+/// The state of the worker.
 #[derive(Debug)]
 pub struct WorkerModel {
     settings: WorkerSettings,
@@ -50,20 +50,20 @@
     events: Vec<(u64, WorkerEvent)>,
 }
 
-/// What the worker knows of a shard's owner.
+/// The state that the worker keeps for the owner of a shard.
 #[derive(Debug, Default)]
 struct OwnerState {
     epoch: Epoch,
     sequence: u64,
-    /// The list of orders gone by.
+    /// The number of the last list of orders that was applied.
     list: u64,
-    /// What the last answer said, and which request it answered.
-    told: Option<(u64, Vec<Told>)>,
-    told_in_full_ms: u64,
+    /// The last report, with the sequence number of the request that it answered.
+    last_sent: Option<(u64, Vec<ReportDigest>)>,
+    last_full_report_ms: u64,
 }
 
-/// The part of a report whose change is worth telling.
-type Told = (TaskId, Attempt, Phase, u64);
+/// The part of a report that causes a new report when it changes.
+type ReportDigest = (TaskId, Attempt, Phase, u64);
 
 #[derive(Debug, Clone)]
 struct Run {
@@ -76,7 +76,7 @@
 }
 
 impl WorkerModel {
-    /// A worker that has just started. `boot` differs after each start.
+    /// Creates a worker that has just started. `boot` must differ for each start.
     pub fn new(settings: WorkerSettings, boot: u64, now_ms: u64) -> Self {
         let capacity = settings.capacity;
         Self {
@@ -91,34 +91,35 @@
         }
     }
 
-    /// Whether a replica of a service runs here.
+    /// Returns whether a replica of a service runs on this worker.
     pub fn serves(&self, service: &SpecName) -> bool {
-        let mut running = self.running();
+        let mut running = self.active_runs();
         running.any(|run| run.order.kind == Kind::Service && run.order.task.spec == *service)
     }
 
-    /// How much slower than alone a service's requests run now.
+    /// Returns the factor by which requests of a service are currently slower than without interference.
     pub fn slowdown_of(&self, service: &SpecName) -> f64 {
-        let run = self.running().find(|run| run.order.task.spec == *service);
+        let run = self.active_runs().find(|run| run.order.task.spec == *service);
         run.map_or(1.0, |run| self.slowdown(run))
     }
 
-    /// The tasks that run.
+    /// Returns the running tasks.
     pub fn running_tasks(&self) -> impl Iterator<Item = (&TaskId, Attempt, Kind)> {
-        self.running().map(|run| (&run.order.task, run.order.attempt, run.order.kind))
+        self.active_runs().map(|run| (&run.order.task, run.order.attempt, run.order.kind))
     }
 
-    /// What the running tasks take in all.
+    /// Returns the total size of the running tasks.
     pub fn given(&self) -> Resources {
-        self.running().fold(Resources::default(), |sum, run| sum.saturating_add(&run.order.size))
+        self.active_runs()
+            .fold(Resources::default(), |sum, run| sum.saturating_add(&run.order.size))
     }
 
-    /// What happened since the last call.
+    /// Returns the events since the last call, with their times in milliseconds.
     pub fn take_events(&mut self) -> Vec<(u64, WorkerEvent)> {
         std::mem::take(&mut self.events)
     }
 
-    /// Lets time pass: tasks progress, end, and lose their leases.
+    /// Advances the clock: tasks make progress, end, and are stopped when their leases expire.
     pub fn advance(&mut self, now_ms: u64) {
         while self.now_ms < now_ms {
             let step_ms = (now_ms - self.now_ms).min(50);
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Answers the owner of a shard.
+    /// Processes a request from the owner of a shard.
     pub fn sync(&mut self, request: SyncRequest, now_ms: u64) -> SyncReply {
         self.advance(now_ms);
         let owner = self.owners.entry(request.shard.clone()).or_default();
@@ -139,17 +140,17 @@
             owner.sequence = request.sequence;
         }
         if newer && request.boot == self.boot {
-            self.obey(&request);
+            self.apply_request(&request);
         }
         self.reply(&request)
     }
 
-    fn running(&self) -> impl Iterator<Item = &Run> {
+    fn active_runs(&self) -> impl Iterator<Item = &Run> {
         self.runs.values().filter(|run| run.phase == Phase::Running)
     }
 
     fn slowdown(&self, run: &Run) -> f64 {
-        let others = self.running().filter(|other| other.order.task != run.order.task);
+        let others = self.active_runs().filter(|other| other.order.task != run.order.task);
         let effects = others.map(|other| {
             let full = self.settings.effects.of(&run.order.class, &other.order.class);
             if other.order.want == Want::Throttle { full * THROTTLED_SPEED } else { full }
@@ -168,11 +169,11 @@
             }
             let throttle = if run.order.want == Want::Throttle { THROTTLED_SPEED } else { 1.0 };
             run.progress_ms += step_ms as f64 * speed * throttle;
-            let fails =
-                self.settings.fail_tasks || run.order.class.as_str().starts_with(FAILING_CLASS);
+            let fails = self.settings.fail_tasks
+                || run.order.class.as_str().starts_with(FAILING_CLASS_PREFIX);
             let phase = match run.checkpoint_due_ms {
                 _ if run.order.lease_until_ms <= now_ms => Phase::Stopped,
-                _ if fails && run.progress_ms >= FAILS_AFTER_MS => Phase::Failed,
+                _ if fails && run.progress_ms >= FAILING_TASK_RUN_MS => Phase::Failed,
                 _ if run.order.work_ms > 0 && run.progress_ms >= run.order.work_ms as f64 => {
                     Phase::Done
                 }
@@ -185,12 +186,12 @@
             ended.push((key.clone(), phase));
         }
         for (key, phase) in ended {
-            self.end(&key, phase);
+            self.end_run(&key, phase);
         }
-        self.measure();
+        self.sample_usage();
     }
 
-    fn end(&mut self, key: &(TaskId, Attempt), phase: Phase) {
+    fn end_run(&mut self, key: &(TaskId, Attempt), phase: Phase) {
         let Some(run) = self.runs.get_mut(key) else { return };
         run.phase = phase;
         let (task, attempt) = key.clone();
@@ -201,19 +202,19 @@
         self.events.push((self.now_ms, event));
     }
 
-    /// Measures what runs together, to be reported late.
-    fn measure(&mut self) {
+    /// Samples the usage of the running tasks when a sample is due. Samples are reported with a delay.
+    fn sample_usage(&mut self) {
         if self.now_ms < self.next_sample_ms {
             return;
         }
         self.next_sample_ms = self.now_ms + self.settings.sample_every_ms;
-        let samples: Vec<_> = self.running().map(|run| self.sample(run)).collect();
+        let samples: Vec<_> = self.active_runs().map(|run| self.usage_sample(run)).collect();
         let due_ms = self.now_ms + self.settings.report_lag_ms;
         self.usage.extend(samples.into_iter().map(|(shard, sample)| (due_ms, shard, sample)));
     }
 
-    fn sample(&self, run: &Run) -> (ShardId, UsageSample) {
-        let others = self.running().filter(|other| other.order.task != run.order.task);
+    fn usage_sample(&self, run: &Run) -> (ShardId, UsageSample) {
+        let others = self.active_runs().filter(|other| other.order.task != run.order.task);
         let beside: Vec<TaskClass> = others.map(|other| other.order.class.clone()).collect();
         let sample = UsageSample {
             taken_ms: self.now_ms,
@@ -226,7 +227,7 @@
         (run.shard.clone(), sample)
     }
 
-    fn obey(&mut self, request: &SyncRequest) {
+    fn apply_request(&mut self, request: &SyncRequest) {
         for settled in &request.settled {
             if self.runs.get(settled).is_some_and(|run| run.phase != Phase::Running) {
                 self.runs.remove(settled);
@@ -235,7 +236,7 @@
         match &request.wants {
             Wants::Listen => {}
             Wants::Orders { list, orders } => {
-                self.obey_orders(&request.shard, orders);
+                self.apply_orders(&request.shard, orders);
                 if let Some(owner) = self.owners.get_mut(&request.shard) {
                     owner.list = *list;
                 }
@@ -250,35 +251,35 @@
         }
     }
 
-    fn obey_orders(&mut self, shard: &ShardId, orders: &[Order]) {
-        let named = |task: &TaskId, attempt: Attempt| {
+    fn apply_orders(&mut self, shard: &ShardId, orders: &[Order]) {
+        let is_listed = |task: &TaskId, attempt: Attempt| {
             orders.iter().any(|order| order.task == *task && order.attempt == attempt)
         };
-        let unnamed: Vec<_> = self
+        let unlisted: Vec<_> = self
             .runs
             .iter()
             .filter(|(_, run)| run.phase == Phase::Running && run.shard == *shard)
-            .filter(|((task, attempt), _)| !named(task, *attempt))
+            .filter(|((task, attempt), _)| !is_listed(task, *attempt))
             .map(|(key, _)| key.clone())
             .collect();
-        for key in unnamed {
-            self.end(&key, Phase::Stopped);
+        for key in unlisted {
+            self.end_run(&key, Phase::Stopped);
         }
         for order in orders {
-            self.obey_order(shard, order);
+            self.apply_order(shard, order);
         }
     }
 
-    fn obey_order(&mut self, shard: &ShardId, order: &Order) {
+    fn apply_order(&mut self, shard: &ShardId, order: &Order) {
         let key = (order.task.clone(), order.attempt);
-        let Some(run) = self.runs.get_mut(&key) else { return self.begin(shard, order) };
+        let Some(run) = self.runs.get_mut(&key) else { return self.start_run(shard, order) };
         if run.phase != Phase::Running {
             return;
         }
         run.order.lease_until_ms = run.order.lease_until_ms.max(order.lease_until_ms);
         run.order.want = order.want;
         match order.want {
-            Want::Stop => self.end(&key, Phase::Stopped),
+            Want::Stop => self.end_run(&key, Phase::Stopped),
             Want::Checkpoint => {
                 let due_ms = self.now_ms + self.settings.checkpoint_ms;
                 run.checkpoint_due_ms.get_or_insert(due_ms);
@@ -287,7 +288,7 @@
         }
     }
 
-    fn begin(&mut self, shard: &ShardId, order: &Order) {
+    fn start_run(&mut self, shard: &ShardId, order: &Order) {
         let runs =
             matches!(order.want, Want::Run | Want::Throttle) && order.lease_until_ms > self.now_ms;
         let run = Run {
@@ -328,33 +329,36 @@
             epoch: owner.epoch,
             sequence: request.sequence,
             list: owner.list,
-            tasks: owner.tell(request, reports, now_ms),
+            tasks: owner.reports_to_send(request, reports, now_ms),
             usage,
         }
     }
 }
 
 impl OwnerState {
-    /// What to tell the owner: nothing if it has seen the same, apart from a full answer
-    /// now and then for the progress made.
-    fn tell(
+    /// Returns the reports to send to the owner.
+    ///
+    /// Returns `None` if the owner has already received the same state, except that a full report is due
+    /// at intervals to report progress.
+    fn reports_to_send(
         &mut self,
         request: &SyncRequest,
         reports: Vec<TaskReport>,
         now_ms: u64,
     ) -> Option<Vec<TaskReport>> {
-        let told: Vec<Told> = reports
+        let digest: Vec<ReportDigest> = reports
             .iter()
             .map(|report| (report.task.clone(), report.attempt, report.phase, report.checkpoint_ms))
             .collect();
-        let now = Some((request.seen, told));
-        let fresh = now_ms.saturating_sub(self.told_in_full_ms) < FULL_ANSWER_MS;
-        let known = request.seen > 0 && self.told == now && fresh;
-        self.told = now.map(|(_, told)| (request.sequence, told));
-        if known {
+        let current = Some((request.seen, digest));
+        let full_report_is_recent =
+            now_ms.saturating_sub(self.last_full_report_ms) < FULL_REPORT_INTERVAL_MS;
+        let is_unchanged = request.seen > 0 && self.last_sent == current && full_report_is_recent;
+        self.last_sent = current.map(|(_, digest)| (request.sequence, digest));
+        if is_unchanged {
             return None;
         }
-        self.told_in_full_ms = now_ms;
+        self.last_full_report_ms = now_ms;
         Some(reports)
     }
 }
