--- a/crates/kitetrail-standins/src/caller.rs
+++ b/crates/kitetrail-standins/src/caller.rs
@@ -63,8 +63,8 @@
     /// The number of correct answers in time that arrived before the last request was sent.
     good_in_window: u64,
     journal: Option<Journal>,
-    done: Histogram<u64>,
-    refused: Histogram<u64>,
+    done_latencies: Histogram<u64>,
+    refused_latencies: Histogram<u64>,
     counts: Counts,
 }
 
@@ -117,8 +117,8 @@
         let results = Results {
             good_in_window: 0,
             journal,
-            done: histogram()?,
-            refused: histogram()?,
+            done_latencies: histogram()?,
+            refused_latencies: histogram()?,
             counts: Counts::default(),
         };
         let mut connector = HttpConnector::new();
@@ -237,10 +237,10 @@
             missing,
             wrong,
             late,
-            p50_us: results.done.value_at_quantile(0.5),
-            p99_us: results.done.value_at_quantile(0.99),
-            p999_us: results.done.value_at_quantile(0.999),
-            refused_p50_us: results.refused.value_at_quantile(0.5),
+            p50_us: results.done_latencies.value_at_quantile(0.5),
+            p99_us: results.done_latencies.value_at_quantile(0.99),
+            p999_us: results.done_latencies.value_at_quantile(0.999),
+            refused_p50_us: results.refused_latencies.value_at_quantile(0.5),
             goodput_per_s: results.good_in_window as f64 / sending_time.as_secs_f64(),
         };
         println!("{}", serde_json::to_string(&summary).unwrap_or_default());
@@ -264,11 +264,11 @@
             "done" => {
                 counts.done += 1;
                 counts.late += u64::from(entry.latency_us > timeout_ms * 1_000);
-                let _ = self.done.record(entry.latency_us);
+                let _ = self.done_latencies.record(entry.latency_us);
             }
             "not-run" => {
                 counts.not_run += 1;
-                let _ = self.refused.record(entry.latency_us);
+                let _ = self.refused_latencies.record(entry.latency_us);
             }
             "unknown" => counts.unknown += 1,
             _ => counts.missing += 1,
--- a/crates/kitetrail-standins/src/journal.rs
+++ b/crates/kitetrail-standins/src/journal.rs
@@ -97,9 +97,9 @@
 impl Journal {
     /// Opens or creates a journal file. New entries are appended to existing ones.
     pub fn open(path: &Path) -> Result<Self, StandinError> {
-        let what = format!("can't open {}", path.display());
+        let operation = format!("can't open {}", path.display());
         let file = File::options().create(true).append(true).open(path);
-        Ok(Self { file: file.map_err(|cause| StandinError::Io { what, cause })? })
+        Ok(Self { file: file.map_err(|cause| StandinError::Io { operation, cause })? })
     }
 
     /// Appends an entry in a single write, so that a killed process leaves no partial line.
--- a/crates/kitetrail-standins/src/judge.rs
+++ b/crates/kitetrail-standins/src/judge.rs
@@ -57,8 +57,9 @@
 }
 
 fn read_entries<T: DeserializeOwned>(path: &Path) -> Result<Vec<T>, StandinError> {
-    let what = format!("can't read {}", path.display());
-    let text = std::fs::read_to_string(path).map_err(|cause| StandinError::Io { what, cause })?;
+    let operation = format!("can't read {}", path.display());
+    let text =
+        std::fs::read_to_string(path).map_err(|cause| StandinError::Io { operation, cause })?;
     let parse = |line: &str| {
         serde_json::from_str(line)
             .map_err(|error| StandinError::Invalid(format!("{}: {error}", path.display())))
--- a/crates/kitetrail-standins/src/plot.rs
+++ b/crates/kitetrail-standins/src/plot.rs
@@ -19,9 +19,9 @@
 
 /// Draws all plots.
 pub fn run(args: &PlotArgs) -> Result<(), StandinError> {
-    let what = format!("can't read {}", args.from.display());
+    let operation = format!("can't read {}", args.from.display());
     let text = fs::read_to_string(&args.from);
-    let text = text.map_err(|cause| StandinError::Io { what, cause })?;
+    let text = text.map_err(|cause| StandinError::Io { operation, cause })?;
     for (keyword, file, title, divisor) in PLOTS {
         let lines = read_lines(&text, keyword, divisor);
         let path = args.to.join(file);
--- a/crates/kitetrail-standins/src/server.rs
+++ b/crates/kitetrail-standins/src/server.rs
@@ -28,10 +28,10 @@
 #[derive(Debug, Error)]
 pub enum StandinError {
     /// A file or socket failed.
-    #[error("{what}: {cause}")]
+    #[error("{operation}: {cause}")]
     Io {
         /// The operation that failed.
-        what: String,
+        operation: String,
         /// The error of the operating system.
         cause: io::Error,
     },
@@ -109,9 +109,9 @@
     H: Fn(Request<Incoming>) -> F + 'static,
     F: Future<Output = Answer> + 'static,
 {
-    let what = format!("can't listen on {listen}");
+    let operation = format!("can't listen on {listen}");
     let listener = TcpListener::bind(listen).await;
-    let listener = listener.map_err(|cause| StandinError::Io { what, cause })?;
+    let listener = listener.map_err(|cause| StandinError::Io { operation, cause })?;
     let handler = Rc::new(handler);
     let local = LocalSet::new();
     local.run_until(accept_connections(listener, handler)).await;
--- a/crates/kitetrail-standins/src/worker/model.rs
+++ b/crates/kitetrail-standins/src/worker/model.rs
@@ -13,7 +13,7 @@
 
 /// The speed of a throttled task, and its remaining effect on others, relative to an unthrottled task.
 const THROTTLED_SPEED: f64 = 0.3;
-/// The progress after which a failing task fails, in milliseconds of work.
+/// The progress after which a failing task must_fail, in milliseconds of work.
 const FAILING_TASK_RUN_MS: f64 = 50.0;
 /// The interval between full reports while nothing but progress changes, in milliseconds.
 const FULL_REPORT_INTERVAL_MS: u64 = 10_000;
@@ -31,7 +31,7 @@
     pub sample_every_ms: u64,
     /// The duration of a checkpoint, in milliseconds.
     pub checkpoint_ms: u64,
-    /// Whether every task fails.
+    /// Whether every task must_fail.
     pub fail_tasks: bool,
     /// The interference between task classes.
     pub effects: Effects,
@@ -169,11 +169,11 @@
             }
             let throttle = if run.order.want == Want::Throttle { THROTTLED_SPEED } else { 1.0 };
             run.progress_ms += step_ms as f64 * speed * throttle;
-            let fails = self.settings.fail_tasks
+            let must_fail = self.settings.fail_tasks
                 || run.order.class.as_str().starts_with(FAILING_CLASS_PREFIX);
             let phase = match run.checkpoint_due_ms {
                 _ if run.order.lease_until_ms <= now_ms => Phase::Stopped,
-                _ if fails && run.progress_ms >= FAILING_TASK_RUN_MS => Phase::Failed,
+                _ if must_fail && run.progress_ms >= FAILING_TASK_RUN_MS => Phase::Failed,
                 _ if run.order.work_ms > 0 && run.progress_ms >= run.order.work_ms as f64 => {
                     Phase::Done
                 }
@@ -289,17 +289,17 @@
     }
 
     fn start_run(&mut self, shard: &ShardId, order: &Order) {
-        let runs =
+        let can_start =
             matches!(order.want, Want::Run | Want::Throttle) && order.lease_until_ms > self.now_ms;
         let run = Run {
             shard: shard.clone(),
             order: order.clone(),
-            phase: if runs { Phase::Running } else { Phase::Stopped },
+            phase: if can_start { Phase::Running } else { Phase::Stopped },
             progress_ms: order.resume_ms as f64,
             checkpoint_ms: order.resume_ms,
             checkpoint_due_ms: None,
         };
-        if runs {
+        if can_start {
             let event = WorkerEvent::Start {
                 task: order.task.clone(),
                 attempt: order.attempt,
--- a/crates/kitetrail/src/client.rs
+++ b/crates/kitetrail/src/client.rs
@@ -73,7 +73,9 @@
             return parsed.map_err(|error| CliError::Failed(error.to_string()));
         }
         match serde_json::from_slice::<ErrorResponse>(&body) {
-            Ok(ErrorResponse { error, message }) => Err(CliError::refused(&error, message)),
+            Ok(ErrorResponse { error, message }) => {
+                Err(CliError::from_error_response(&error, message))
+            }
             Err(_) => Err(CliError::Failed(format!("the daemon responded with status {status}"))),
         }
     }
--- a/crates/kitetrail/src/error.rs
+++ b/crates/kitetrail/src/error.rs
@@ -35,7 +35,7 @@
 
 impl CliError {
     /// Returns the error for an error response of a daemon.
-    pub fn refused(kind: &str, message: String) -> Self {
+    pub fn from_error_response(kind: &str, message: String) -> Self {
         match kind {
             "invalid" => Self::Usage(message),
             "not-found" => Self::NotFound(message),
