--- a/crates/kitetrail-proto/src/convert.rs
+++ b/crates/kitetrail-proto/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between messages and the core's types.
+//! Conversions between messages and the types of `kitetrail-core`.
 
 use std::net::{AddrParseError, SocketAddr};
 
@@ -12,16 +12,16 @@
 
 use crate::peer;
 
-/// A message that can't be read.
+/// The error of a message that can't be converted.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// A name breaks the rules.
+    /// A name is invalid.
     #[error("a peer sent a bad name: {0}")]
     Name(#[from] InvalidId),
-    /// An address can't be read.
+    /// An address is invalid.
     #[error("a peer sent a bad address: {0}")]
     Address(#[from] AddrParseError),
-    /// A configuration can't be read.
+    /// A configuration can't be converted from or to JSON.
     #[error("a peer sent a configuration that can't be read: {0}")]
     Configuration(#[from] serde_json::Error),
 }
