--- a/crates/kitetrail-standins/examples/compare_placement.rs
+++ b/crates/kitetrail-standins/examples/compare_placement.rs
@@ -1,8 +1,9 @@
-//! Compares placers on the same workers and the same recorded load, on virtual time.
+//! Compares placers on the same workers and the same generated load, on virtual time.
 //!
-//! Two services and four classes of batch work share workers. Which class disturbs which
-//! is known to the workers alone. Printed for each placer and both users' weightings: the
-//! latency of the services (20 ms alone), batch work done, evictions and work lost.
+//! Two services and four classes of batch work share workers. Only the workers know which
+//! class slows down which. For each placer and the weightings of both users, the example
+//! prints the latency of the services (20 ms when undisturbed), the batch work done, the
+//! evictions and throttles, and the work lost.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 #![allow(missing_docs, reason = "an example")]
 
@@ -19,14 +20,14 @@
 use kitetrail_standins::worker::{Effects, WorkerSettings};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use world::{World, spec, worker_settings};
+use world::{Simulation, spec, worker_settings};
 
 const WORKERS: usize = 12;
-const WAVES: u64 = 30;
+const WAVE_COUNT: u64 = 30;
 const WAVE_MS: u64 = 20_000;
 const TASKS_PER_WAVE: u32 = 70;
-const ALONE_US: f64 = 20_000.0;
-const BATCH: [&str; 4] = ["pack-heavy", "pack-light", "report", "scan"];
+const UNDISTURBED_LATENCY_US: f64 = 20_000.0;
+const BATCH_CLASSES: [&str; 4] = ["pack-heavy", "pack-light", "report", "scan"];
 const EFFECTS: &str = "
 [validate]
 pack-heavy = 0.30
@@ -42,7 +43,7 @@
 pack-heavy = 0.10
 ";
 
-/// How a user weighs things.
+/// A user's weighting of tail latency, and the slowdown that its services tolerate.
 struct Weighting {
     name: &'static str,
     tail_weight: f64,
@@ -55,11 +56,12 @@
 ];
 
 fn policy(weighting: &Weighting, relief: bool) -> PolicyTable {
-    let never = if relief { weighting.max_slowdown } else { f64::MAX };
-    let service = ClassRule { rank: 100, sacrifice: Sacrifice::Never, max_slowdown: never };
+    let max_service_slowdown = if relief { weighting.max_slowdown } else { f64::MAX };
+    let service =
+        ClassRule { rank: 100, sacrifice: Sacrifice::Never, max_slowdown: max_service_slowdown };
     let batch = ClassRule { rank: 10, sacrifice: Sacrifice::Evict, max_slowdown: f64::MAX };
     let services = ["validate", "hold"].map(|name| (name, service.clone()));
-    let batch = BATCH.map(|name| (name, batch.clone()));
+    let batch = BATCH_CLASSES.map(|name| (name, batch.clone()));
     let rules = services.into_iter().chain(batch);
     PolicyTable {
         tail_weight: weighting.tail_weight,
@@ -68,19 +70,19 @@
     }
 }
 
-/// The same batch work for every placer.
-fn wave(number: u64) -> Vec<Spec> {
+/// Returns the batch jobs of a wave, which are the same for every placer.
+fn batch_wave(number: u64) -> Vec<Spec> {
     let mut rng = ChaCha8Rng::seed_from_u64(number);
-    let mut counts = [0u32; BATCH.len()];
+    let mut counts = [0u32; BATCH_CLASSES.len()];
     for _ in 0..TASKS_PER_WAVE {
-        counts[rng.random_range(0..BATCH.len())] += 1;
+        counts[rng.random_range(0..BATCH_CLASSES.len())] += 1;
     }
     let of_class = |(class, count): (&str, u32)| {
         let run_ms = rng.random_range(10_000..30_000);
-        let named = spec(&format!("{class}-{number}"), Kind::Job, count.max(1), run_ms);
-        Spec { class: class.parse().unwrap(), ..named }
+        let job = spec(&format!("{class}-{number}"), Kind::Job, count.max(1), run_ms);
+        Spec { class: class.parse().unwrap(), ..job }
     };
-    BATCH.into_iter().zip(counts).map(of_class).collect()
+    BATCH_CLASSES.into_iter().zip(counts).map(of_class).collect()
 }
 
 fn compare<P: Placer + Clone>(label: &str, weighting: &Weighting, mut placer: P, relief: bool) {
@@ -88,26 +90,26 @@
     let effects: Effects = toml::from_str(EFFECTS).unwrap();
     let capacity = Resources::new(16_000, 61_440, 0);
     let workers = WorkerSettings { capacity, ..worker_settings(effects) };
-    let mut world = World::with(5, 1, WORKERS, ShardSettings::default(), placer, workers);
+    let mut sim = Simulation::with_placer(5, 1, WORKERS, ShardSettings::default(), placer, workers);
     for name in ["validate", "hold"] {
         let size = Resources::new(4_000, 4_096, 0);
-        world.submit(Spec { size, ..spec(name, Kind::Service, 6, 0) });
+        sim.submit(Spec { size, ..spec(name, Kind::Service, 6, 0) });
     }
-    world.run_ms(3_000);
+    sim.run_ms(3_000);
     let mut latency_us = Histogram::<u64>::new(3).unwrap();
-    for number in 0..WAVES {
-        for spec in wave(number) {
-            world.submit(spec);
+    for number in 0..WAVE_COUNT {
+        for spec in batch_wave(number) {
+            sim.submit(spec);
         }
         for _ in 0..WAVE_MS / 100 {
-            world.run_ms(100);
-            sample(&world, &mut latency_us);
+            sim.run_ms(100);
+            record_latency(&sim, &mut latency_us);
         }
     }
-    let evictions = world.log.matches(": evicted").count();
-    let throttles = world.log.matches("to throttle").count();
-    let done_h = world.done_work_ms() as f64 / 3_600_000.0;
-    let lost_h = world.lost_ms as f64 / 3_600_000.0;
+    let evictions = sim.log.matches(": evicted").count();
+    let throttles = sim.log.matches("to throttle").count();
+    let done_h = sim.completed_work_ms() as f64 / 3_600_000.0;
+    let lost_h = sim.lost_ms as f64 / 3_600_000.0;
     let ms = |quantile| latency_us.value_at_quantile(quantile) as f64 / 1_000.0;
     println!(
         "| {} | {label} | {:.1} | {:.1} | {:.1} | {done_h:.2} | {evictions} | {throttles} | {lost_h:.3} |",
@@ -118,11 +120,11 @@
     );
 }
 
-fn sample<P: Placer + Clone>(world: &World<P>, latency_us: &mut Histogram<u64>) {
+fn record_latency<P: Placer + Clone>(sim: &Simulation<P>, latency_us: &mut Histogram<u64>) {
     for service in ["validate", "hold"] {
         let service: SpecName = service.parse().unwrap();
-        for slowdown in world.slowdowns(&service) {
-            latency_us.record((slowdown * ALONE_US) as u64).unwrap();
+        for slowdown in sim.slowdowns(&service) {
+            latency_us.record((slowdown * UNDISTURBED_LATENCY_US) as u64).unwrap();
         }
     }
 }
--- a/crates/kitetrail-standins/examples/table_writes.rs
+++ b/crates/kitetrail-standins/examples/table_writes.rs
@@ -1,7 +1,7 @@
 //! Counts the table's transactions at several rates of task starts, on virtual time.
 //!
-//! One shard of 75 workers; the rates are those of one of 16 shards at 1, 32 and 320
-//! starts a second in all.
+//! The simulation has one shard of 75 workers. The load is the share of one of 16 shards when
+//! all shards together start 0, 1, 32 and 320 tasks a second.
 #![allow(missing_docs, reason = "an example")]
 
 #[path = "../tests/world/mod.rs"]
@@ -14,7 +14,7 @@
     task::{Kind, Spec},
 };
 use kitetrail_standins::worker::{Effects, WorkerSettings};
-use world::{World, spec, worker_settings};
+use world::{Simulation, spec, worker_settings};
 
 const SHARDS: u64 = 16;
 const WORKERS: usize = 75;
@@ -31,27 +31,28 @@
             ..worker_settings(Effects::default())
         };
         let placer = InterferenceAware::default();
-        let mut world = World::with(3, 1, WORKERS, ShardSettings::default(), placer, workers);
-        world.run_ms(3_000);
-        let (commits, rows, starts) = (world.commits(), world.rows_written(), world.starts());
+        let mut sim =
+            Simulation::with_placer(3, 1, WORKERS, ShardSettings::default(), placer, workers);
+        sim.run_ms(3_000);
+        let (commits, rows, start_count) = (sim.commits(), sim.rows_written(), sim.start_count());
         let mut submitted = 0;
         for second in 0..SECONDS {
-            let due = starts_per_s * (second + 1) / SHARDS;
-            let tasks = (due - submitted) as u32;
-            submitted = due;
+            let starts_due = starts_per_s * (second + 1) / SHARDS;
+            let tasks = (starts_due - submitted) as u32;
+            submitted = starts_due;
             if tasks > 0 {
                 let name = format!("packs-{second}");
                 let size = Resources::new(500, 512, 0);
-                world.submit(Spec { size, ..spec(&name, Kind::Job, tasks, 5_000) });
+                sim.submit(Spec { size, ..spec(&name, Kind::Job, tasks, 5_000) });
             }
-            world.run_ms(1_000);
+            sim.run_ms(1_000);
         }
-        let own = world.commits() - commits - world.submissions();
-        let per_s = own as f64 / SECONDS as f64;
-        let rows = (world.rows_written() - rows) as f64 / own as f64;
+        let shard_commits = sim.commits() - commits - sim.submissions();
+        let per_s = shard_commits as f64 / SECONDS as f64;
+        let rows = (sim.rows_written() - rows) as f64 / shard_commits as f64;
         println!(
             "| {starts_per_s} | {} | {per_s:.2} | {:.0} | {rows:.1} |",
-            world.starts() - starts,
+            sim.start_count() - start_count,
             per_s * SHARDS as f64
         );
     }
--- a/crates/kitetrail-standins/tests/placement_properties.rs
+++ b/crates/kitetrail-standins/tests/placement_properties.rs
@@ -1,7 +1,7 @@
-//! P1 to P3 under random faults: the world checks them after every event.
+//! Tests promises P1 to P3 under random faults. The simulation checks them after every event.
 //!
-//! The seeds are fixed, so every run judges the same sessions. A failure prints the
-//! seed and the shortest session found that still fails.
+//! The seeds are fixed, so every run checks the same sessions. A failure prints the seed and
+//! the shortest failing session that was found.
 
 mod world;
 
@@ -17,56 +17,57 @@
     prelude::*,
     test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
 };
-use world::{Weather, World, spec};
+use world::{NetworkConditions, Simulation, spec};
 
 const NODES: usize = 3;
 const WORKERS: usize = 4;
-/// How long the world is given to come to rest once all faults are over.
-const HEALING_MS: u64 = 120_000;
+/// How long the simulation runs after all faults are cleared before its final state is checked.
+const RECOVERY_MS: u64 = 120_000;
 
-/// One thing that goes wrong, or right again.
+/// A fault that occurs or is cleared.
 #[derive(Debug, Clone)]
 enum Fault {
-    KillOwner(usize),
-    RestartOwner(usize),
-    FreezeOwner(usize),
-    ThawOwner(usize),
-    DrainOwner(usize),
-    Cut(usize, usize),
-    Join(usize),
-    CutTable(usize, bool),
-    TableDown(bool),
-    FreezeWorker(usize, bool),
+    KillBox(usize),
+    RestartBox(usize),
+    PauseBox(usize),
+    ResumeBox(usize),
+    DrainBox(usize),
+    DisconnectWorker(usize, usize),
+    ReconnectWorkers(usize),
+    SetTableDisconnected(usize, bool),
+    SetTableDown(bool),
+    SetWorkerPaused(usize, bool),
     RestartWorker(usize),
-    WorkerLeaves(usize, bool),
+    SetWorkerLeaving(usize, bool),
     CancelJob,
-    Storm(u32, u32, u64),
-    Calm,
+    DegradeNetwork(u32, u32, u64),
+    RestoreNetwork,
 }
 
 fn fault() -> impl Strategy<Value = Fault> {
     let node = 0..NODES;
     let worker = 0..WORKERS;
     prop_oneof![
-        node.clone().prop_map(Fault::KillOwner),
-        node.clone().prop_map(Fault::RestartOwner),
-        node.clone().prop_map(Fault::FreezeOwner),
-        node.clone().prop_map(Fault::ThawOwner),
-        node.clone().prop_map(Fault::DrainOwner),
-        (node.clone(), worker.clone()).prop_map(|(n, w)| Fault::Cut(n, w)),
-        node.clone().prop_map(Fault::Join),
-        (node.clone(), any::<bool>()).prop_map(|(n, cut)| Fault::CutTable(n, cut)),
-        any::<bool>().prop_map(Fault::TableDown),
-        (worker.clone(), any::<bool>()).prop_map(|(w, frozen)| Fault::FreezeWorker(w, frozen)),
+        node.clone().prop_map(Fault::KillBox),
+        node.clone().prop_map(Fault::RestartBox),
+        node.clone().prop_map(Fault::PauseBox),
+        node.clone().prop_map(Fault::ResumeBox),
+        node.clone().prop_map(Fault::DrainBox),
+        (node.clone(), worker.clone()).prop_map(|(n, w)| Fault::DisconnectWorker(n, w)),
+        node.clone().prop_map(Fault::ReconnectWorkers),
+        (node.clone(), any::<bool>())
+            .prop_map(|(n, disconnected)| Fault::SetTableDisconnected(n, disconnected)),
+        any::<bool>().prop_map(Fault::SetTableDown),
+        (worker.clone(), any::<bool>()).prop_map(|(w, paused)| Fault::SetWorkerPaused(w, paused)),
         worker.clone().prop_map(Fault::RestartWorker),
-        (worker, any::<bool>()).prop_map(|(w, leaves)| Fault::WorkerLeaves(w, leaves)),
+        (worker, any::<bool>()).prop_map(|(w, leaving)| Fault::SetWorkerLeaving(w, leaving)),
         Just(Fault::CancelJob),
-        (0u32..30, 0u32..30, 1u64..1_500).prop_map(|(l, d, ms)| Fault::Storm(l, d, ms)),
-        Just(Fault::Calm),
+        (0u32..30, 0u32..30, 1u64..1_500).prop_map(|(l, d, ms)| Fault::DegradeNetwork(l, d, ms)),
+        Just(Fault::RestoreNetwork),
     ]
 }
 
-/// A session: each fault, and how long after the one before.
+/// Generates the seed of a simulation and its faults, each with the delay after the previous one, in milliseconds.
 fn session() -> impl Strategy<Value = (u64, Vec<(u64, Fault)>)> {
     (any::<u32>().prop_map(u64::from), vec((1u64..6_000, fault()), 1..25))
 }
@@ -75,80 +76,92 @@
     ShardSettings::builder().detached_renewal(Duration::from_secs(15)).build()
 }
 
-fn cause(world: &mut World, fault: &Fault) {
+fn inject_fault(sim: &mut Simulation, fault: &Fault) {
     match *fault {
-        Fault::KillOwner(node) => world.kill_owner(node),
-        Fault::RestartOwner(node) => world.restart_owner(node),
-        Fault::FreezeOwner(node) => world.pause_owner(node),
-        Fault::ThawOwner(node) => world.thaw_owner(node),
-        Fault::DrainOwner(node) => world.drain_owner(node),
-        Fault::Cut(node, worker) => world.cut(node, worker),
-        Fault::Join(node) => world.join(node),
-        Fault::CutTable(node, cut) => world.cut_table(node, cut),
-        Fault::TableDown(down) => world.weather.table_down = down,
-        Fault::FreezeWorker(worker, frozen) => world.pause_worker(worker, frozen),
-        Fault::RestartWorker(worker) => world.restart_worker(worker),
-        Fault::WorkerLeaves(worker, true) => world.set_worker_state(worker, Liveness::Leaving),
-        Fault::WorkerLeaves(worker, false) => world.set_worker_state(worker, Liveness::Live),
-        Fault::CancelJob => world.cancel(&world::spec("cancelled", Kind::Job, 1, 0).name),
-        Fault::Storm(lose_percent, double_percent, max_delay_ms) => {
-            let table_down = world.weather.table_down;
+        Fault::KillBox(node) => sim.kill_box(node),
+        Fault::RestartBox(node) => sim.restart_box(node),
+        Fault::PauseBox(node) => sim.pause_box(node),
+        Fault::ResumeBox(node) => sim.resume_box(node),
+        Fault::DrainBox(node) => sim.drain_box(node),
+        Fault::DisconnectWorker(node, worker) => sim.disconnect_worker(node, worker),
+        Fault::ReconnectWorkers(node) => sim.reconnect_workers(node),
+        Fault::SetTableDisconnected(node, disconnected) => {
+            sim.set_table_disconnected(node, disconnected)
+        }
+        Fault::SetTableDown(down) => sim.network.table_down = down,
+        Fault::SetWorkerPaused(worker, paused) => sim.set_worker_paused(worker, paused),
+        Fault::RestartWorker(worker) => sim.restart_worker(worker),
+        Fault::SetWorkerLeaving(worker, true) => sim.set_worker_state(worker, Liveness::Leaving),
+        Fault::SetWorkerLeaving(worker, false) => sim.set_worker_state(worker, Liveness::Live),
+        Fault::CancelJob => sim.cancel(&world::spec("cancelled", Kind::Job, 1, 0).name),
+        Fault::DegradeNetwork(loss_percent, duplicate_percent, max_delay_ms) => {
+            let table_down = sim.network.table_down;
             let min_delay_ms = 1;
-            world.weather =
-                Weather { min_delay_ms, max_delay_ms, lose_percent, double_percent, table_down };
+            sim.network = NetworkConditions {
+                min_delay_ms,
+                max_delay_ms,
+                loss_percent,
+                duplicate_percent,
+                table_down,
+            };
         }
-        Fault::Calm => world.weather = Weather::calm(),
+        Fault::RestoreNetwork => sim.network = NetworkConditions::reliable(),
     }
 }
 
-fn heal(world: &mut World) {
-    world.weather = Weather::calm();
+fn clear_faults(sim: &mut Simulation) {
+    sim.network = NetworkConditions::reliable();
     for worker in 0..WORKERS {
-        world.pause_worker(worker, false);
-        world.set_worker_state(worker, Liveness::Live);
+        sim.set_worker_paused(worker, false);
+        sim.set_worker_state(worker, Liveness::Live);
     }
     for node in 0..NODES {
-        world.restart_owner(node);
-        world.join(node);
-        world.cut_table(node, false);
+        sim.restart_box(node);
+        sim.reconnect_workers(node);
+        sim.set_table_disconnected(node, false);
     }
 }
 
-/// Everything asked for came about in the end, exactly as often as asked.
-fn check_rest(world: &mut World) {
-    for row in world.rows() {
-        let well = match (row.spec.kind, &row.stage) {
+/// Checks that every job has ended as expected, that services run, and that the watcher runs once.
+fn check_final_state(sim: &mut Simulation) {
+    for row in sim.rows() {
+        let is_expected = match (row.spec.kind, &row.stage) {
             (Kind::Job, Stage::Ended(Ending::Done)) => true,
             (Kind::Job, Stage::Ended(Ending::Cancelled)) => row.spec.name.as_str() == "cancelled",
             (Kind::Service | Kind::Watcher, Stage::Placed { .. }) => true,
             _ => false,
         };
-        assert!(well, "{} rests as {:?}\n{}", row.id, row.stage, world.log);
+        assert!(is_expected, "{} ended up as {:?}\n{}", row.id, row.stage, sim.log);
     }
-    assert_eq!(world.where_runs("notices:0").len(), 1, "the watcher runs once\n{}", world.log);
+    assert_eq!(
+        sim.running_attempts("notices:0").len(),
+        1,
+        "the watcher must run once\n{}",
+        sim.log
+    );
 }
 
-fn judge(seed: u64, faults: &[(u64, Fault)]) {
-    let mut world = World::new(seed, NODES, WORKERS, settings());
-    world.submit(spec("validate", Kind::Service, 3, 0));
-    world.submit(spec("notices", Kind::Watcher, 1, 0));
-    world.submit(spec("packs", Kind::Job, 8, 7_000));
-    world.submit(spec("cancelled", Kind::Job, 2, 15_000));
+fn run_session(seed: u64, faults: &[(u64, Fault)]) {
+    let mut sim = Simulation::new(seed, NODES, WORKERS, settings());
+    sim.submit(spec("validate", Kind::Service, 3, 0));
+    sim.submit(spec("notices", Kind::Watcher, 1, 0));
+    sim.submit(spec("packs", Kind::Job, 8, 7_000));
+    sim.submit(spec("cancelled", Kind::Job, 2, 15_000));
     for (after_ms, fault) in faults {
-        world.run_ms(*after_ms);
-        cause(&mut world, fault);
+        sim.run_ms(*after_ms);
+        inject_fault(&mut sim, fault);
     }
-    heal(&mut world);
-    world.run_ms(HEALING_MS);
-    check_rest(&mut world);
+    clear_faults(&mut sim);
+    sim.run_ms(RECOVERY_MS);
+    check_final_state(&mut sim);
 }
 
-fn judge_sessions(seed: u8, cases: u32) {
+fn check_sessions(seed: u8, cases: u32) {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let result = runner.run(&session(), |(world_seed, faults)| {
-        judge(world_seed, &faults);
+    let result = runner.run(&session(), |(sim_seed, faults)| {
+        run_session(sim_seed, &faults);
         Ok(())
     });
     if let Err(error) = result {
@@ -157,11 +170,11 @@
 }
 
 #[test]
-fn promises_hold_in_sessions_of_seed_1() {
-    judge_sessions(1, 150);
+fn promises_hold_under_random_faults_of_seed_1() {
+    check_sessions(1, 150);
 }
 
 #[test]
-fn promises_hold_in_sessions_of_seed_2() {
-    judge_sessions(2, 150);
+fn promises_hold_under_random_faults_of_seed_2() {
+    check_sessions(2, 150);
 }
--- a/crates/kitetrail-standins/tests/world/checks.rs
+++ b/crates/kitetrail-standins/tests/world/checks.rs
@@ -1,21 +1,21 @@
-//! The promises, checked on what workers really do.
+//! Checks the promises against the tasks that workers actually run.
 
 use std::collections::BTreeMap;
 
 use kitetrail_core::{TaskId, placement::Placer, task::Kind};
 use kitetrail_standins::journal::WorkerEvent;
 
-use super::World;
+use super::Simulation;
 
-impl<P: Placer + Clone> World<P> {
+impl<P: Placer + Clone> Simulation<P> {
     pub(super) fn collect_events(&mut self, worker: usize) {
         for (_, event) in self.workers[worker].model.take_events() {
             match event {
                 WorkerEvent::Start { task, attempt, resume_ms, .. } => {
-                    self.note(format!(
+                    self.log_line(format!(
                         "worker-{worker} starts {task} attempt {attempt} from {resume_ms}"
                     ));
-                    let count = self.started.entry((task.clone(), attempt)).or_default();
+                    let count = self.start_counts.entry((task.clone(), attempt)).or_default();
                     *count += 1;
                     assert!(
                         *count == 1,
@@ -25,12 +25,12 @@
                 }
                 WorkerEvent::Stop { task, attempt, done, checkpoint_ms, lost_ms } => {
                     self.lost_ms += lost_ms;
-                    let how = if done { "ends" } else { "stops" };
-                    self.note(format!(
-                        "worker-{worker} {how} {task} attempt {attempt} at {checkpoint_ms}"
+                    let verb = if done { "ends" } else { "stops" };
+                    self.log_line(format!(
+                        "worker-{worker} {verb} {task} attempt {attempt} at {checkpoint_ms}"
                     ));
                     if done {
-                        *self.completed.entry(task).or_default() += 1;
+                        *self.completion_counts.entry(task).or_default() += 1;
                     }
                 }
                 WorkerEvent::Boot { .. } | WorkerEvent::Killed | WorkerEvent::Execute { .. } => {}
@@ -38,14 +38,14 @@
         }
     }
 
-    /// P1 and P2, on what workers really do.
+    /// Checks promises P1 and P2 against the tasks that workers actually run.
     pub(super) fn check(&self) {
         let mut places: BTreeMap<&TaskId, usize> = BTreeMap::new();
         for (number, worker) in self.workers.iter().enumerate() {
-            let given = worker.model.given();
+            let used = worker.model.given();
             assert!(
-                given.fits_in(&worker.settings.capacity),
-                "P1: worker-{number} was given {given}\n{}",
+                used.fits_in(&worker.settings.capacity),
+                "P1: the tasks of worker-{number} use {used}, more than its capacity\n{}",
                 self.log
             );
             if worker.paused {
@@ -53,7 +53,7 @@
             }
             for (task, _, kind) in worker.model.running_tasks() {
                 if kind != Kind::Service && places.insert(task, number).is_some() {
-                    panic!("P2: {task} runs twice at {}\n{}", self.now_ms - 1_000, self.log);
+                    panic!("P2: {task} runs twice at {} ms\n{}", self.now_ms - 1_000, self.log);
                 }
             }
         }
--- a/crates/kitetrail-standins/tests/world/faults.rs
+++ b/crates/kitetrail-standins/tests/world/faults.rs
@@ -1,87 +1,87 @@
-//! What can be made to go wrong in the world.
+//! The faults that a test can inject into the simulation.
 
 use kitetrail_core::{fleet::Liveness, placement::Placer, shard::Event};
 use kitetrail_standins::worker::WorkerModel;
 
-use super::{World, new_shard};
+use super::{Simulation, new_shard};
 
-impl<P: Placer + Clone> World<P> {
-    pub fn kill_owner(&mut self, node: usize) {
+impl<P: Placer + Clone> Simulation<P> {
+    pub fn kill_box(&mut self, node: usize) {
         self.nodes[node].alive = false;
-        self.note(format!("box-{node} is killed"));
+        self.log_line(format!("box-{node} is killed"));
     }
 
-    pub fn restart_owner(&mut self, node: usize) {
-        let run = self.nodes[node].run + 1;
-        let shard = new_shard(&self.shard, node, run, &self.settings, self.placer.clone());
+    pub fn restart_box(&mut self, node: usize) {
+        let incarnation = self.nodes[node].incarnation + 1;
+        let shard = new_shard(&self.shard, node, incarnation, &self.settings, self.placer.clone());
         let node_state = &mut self.nodes[node];
         node_state.shard = shard;
-        node_state.run = run;
+        node_state.incarnation = incarnation;
         node_state.alive = true;
         node_state.paused = false;
-        node_state.open.clear();
-        node_state.held.clear();
-        self.introduce(node);
-        self.note(format!("box-{node} starts again"));
+        node_state.pending_requests.clear();
+        node_state.undelivered.clear();
+        self.send_initial_events(node);
+        self.log_line(format!("box-{node} starts again"));
     }
 
-    pub fn pause_owner(&mut self, node: usize) {
+    pub fn pause_box(&mut self, node: usize) {
         self.nodes[node].paused = true;
-        self.note(format!("box-{node} freezes"));
+        self.log_line(format!("box-{node} pauses"));
     }
 
-    /// Thaws a box. All that arrived meanwhile is delivered at once.
-    pub fn thaw_owner(&mut self, node: usize) {
+    /// Resumes a paused box and delivers all messages that arrived meanwhile.
+    pub fn resume_box(&mut self, node: usize) {
         self.nodes[node].paused = false;
-        self.note(format!("box-{node} thaws"));
-        for message in std::mem::take(&mut self.nodes[node].held) {
+        self.log_line(format!("box-{node} resumes"));
+        for message in std::mem::take(&mut self.nodes[node].undelivered) {
             self.deliver(message);
         }
     }
 
-    pub fn drain_owner(&mut self, node: usize) {
-        self.note(format!("box-{node} is told to stop"));
-        self.drive(node, Event::Drain);
+    pub fn drain_box(&mut self, node: usize) {
+        self.log_line(format!("box-{node} drains"));
+        self.handle_event(node, Event::Drain);
     }
 
-    pub fn cut(&mut self, node: usize, worker: usize) {
-        self.nodes[node].cut_workers.insert(worker);
-        self.note(format!("box-{node} and worker-{worker} are cut"));
+    pub fn disconnect_worker(&mut self, node: usize, worker: usize) {
+        self.nodes[node].disconnected_workers.insert(worker);
+        self.log_line(format!("box-{node} is disconnected from worker-{worker}"));
     }
 
-    /// Loses all answers of a worker to a box; its requests still arrive.
-    pub fn mute(&mut self, node: usize, worker: usize) {
-        self.nodes[node].muted_workers.insert(worker);
-        self.note(format!("answers of worker-{worker} to box-{node} are lost"));
+    /// Drops all replies of a worker to a box. Requests of the box still reach the worker.
+    pub fn drop_replies(&mut self, node: usize, worker: usize) {
+        self.nodes[node].workers_with_lost_replies.insert(worker);
+        self.log_line(format!("replies of worker-{worker} to box-{node} are lost"));
     }
 
-    pub fn cut_table(&mut self, node: usize, cut: bool) {
-        self.nodes[node].cut_table = cut;
-        self.note(format!(
+    pub fn set_table_disconnected(&mut self, node: usize, disconnected: bool) {
+        self.nodes[node].table_disconnected = disconnected;
+        self.log_line(format!(
             "box-{node} is {} the table",
-            if cut { "cut from" } else { "joined to" }
+            if disconnected { "disconnected from" } else { "connected to" }
         ));
     }
 
-    pub fn join(&mut self, node: usize) {
-        self.nodes[node].cut_workers.clear();
-        self.nodes[node].muted_workers.clear();
-        self.note(format!("box-{node} reaches all workers"));
+    pub fn reconnect_workers(&mut self, node: usize) {
+        self.nodes[node].disconnected_workers.clear();
+        self.nodes[node].workers_with_lost_replies.clear();
+        self.log_line(format!("box-{node} is connected to all workers"));
     }
 
-    /// Freezes or thaws a worker with all that runs on it. The first thing a thawed
-    /// worker does is to look at its leases.
-    pub fn pause_worker(&mut self, worker: usize, paused: bool) {
+    /// Pauses or resumes a worker and the tasks that run on it. A resumed worker checks its
+    /// leases before it handles any message.
+    pub fn set_worker_paused(&mut self, worker: usize, paused: bool) {
         let state = &mut self.workers[worker];
         state.paused = paused;
         if !paused {
             state.model.advance(self.now_ms + state.clock_offset_ms);
             self.collect_events(worker);
         }
-        self.note(format!("worker-{worker} {}", if paused { "freezes" } else { "thaws" }));
+        self.log_line(format!("worker-{worker} {}", if paused { "pauses" } else { "resumes" }));
     }
 
-    /// Kills a worker and all that runs on it, and starts it anew.
+    /// Restarts a worker, which kills all tasks that run on it.
     pub fn restart_worker(&mut self, worker: usize) {
         let now_ms = self.now_ms;
         let state = &mut self.workers[worker];
@@ -89,27 +89,27 @@
         let boot = worker as u64 * 1_000 + state.boots;
         state.model =
             WorkerModel::new(state.settings.clone(), boot, now_ms + state.clock_offset_ms);
-        self.note(format!("worker-{worker} restarts"));
+        self.log_line(format!("worker-{worker} restarts"));
     }
 
-    /// Makes a worker fail every task from now on.
-    pub fn break_worker(&mut self, worker: usize) {
+    /// Restarts a worker so that it fails every task from now on.
+    pub fn make_worker_fail_tasks(&mut self, worker: usize) {
         self.workers[worker].settings.fail_tasks = true;
         self.restart_worker(worker);
     }
 
     pub fn set_worker_state(&mut self, worker: usize, state: Liveness) {
-        self.infos[worker].state = state;
+        self.worker_infos[worker].state = state;
         for node in 0..self.nodes.len() {
-            self.drive(node, Event::FleetSeen(self.infos.clone()));
+            self.handle_event(node, Event::FleetSeen(self.worker_infos.clone()));
         }
-        self.note(format!("the box list has worker-{worker} as {state:?}"));
+        self.log_line(format!("the box list shows worker-{worker} as {state:?}"));
     }
 
-    /// Tells all boxes the time of day.
+    /// Sets the time of day of all boxes, in milliseconds since 1970.
     pub fn set_unix_time(&mut self, unix_ms: u64) {
         for node in 0..self.nodes.len() {
-            self.drive(node, Event::UnixTime(unix_ms));
+            self.handle_event(node, Event::UnixTime(unix_ms));
         }
     }
 }
--- a/crates/kitetrail-standins/tests/world/mod.rs
+++ b/crates/kitetrail-standins/tests/world/mod.rs
@@ -1,7 +1,7 @@
-//! Several owners, workers and the table on virtual time, with a network between them
-//! that delays, reorders, doubles and loses messages.
-#![allow(dead_code, reason = "each test file uses a part")]
-#![allow(missing_docs, reason = "shared by tests alone")]
+//! Simulates boxes, workers and the table on virtual time. The network between them delays,
+//! reorders, duplicates and loses messages.
+#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(missing_docs, reason = "used by tests only")]
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 mod checks;
@@ -30,88 +30,88 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// How long an asker waits for an answer.
+/// How long a box waits for the answer to a request.
 const TIMEOUT_MS: u64 = 1_000;
-/// How often each owner and worker is ticked.
+/// The interval between ticks of all boxes and workers.
 const TICK_MS: u64 = 50;
 
-/// How the network and the table behave.
+/// The conditions of the network, and whether the table is down.
 #[derive(Debug, Clone)]
-pub struct Weather {
+pub struct NetworkConditions {
     pub min_delay_ms: u64,
     pub max_delay_ms: u64,
-    pub lose_percent: u32,
-    pub double_percent: u32,
+    pub loss_percent: u32,
+    pub duplicate_percent: u32,
     pub table_down: bool,
 }
 
-impl Weather {
-    pub fn calm() -> Self {
+impl NetworkConditions {
+    pub fn reliable() -> Self {
         Self {
             min_delay_ms: 1,
             max_delay_ms: 1,
-            lose_percent: 0,
-            double_percent: 0,
+            loss_percent: 0,
+            duplicate_percent: 0,
             table_down: false,
         }
     }
 }
 
-/// One thing that is on its way.
+/// A message in flight.
 #[derive(Debug, Clone)]
 enum Message {
     Tick,
-    ToTable { node: usize, run: u64, ask: u64, action: Action },
-    ToWorker { node: usize, run: u64, ask: u64, worker: usize, request: SyncRequest },
-    Answer { node: usize, run: u64, ask: u64, event: Event },
+    ToTable { node: usize, incarnation: u64, request_id: u64, action: Action },
+    ToWorker { node: usize, incarnation: u64, request_id: u64, worker: usize, request: SyncRequest },
+    Answer { node: usize, incarnation: u64, request_id: u64, event: Event },
 }
 
 #[derive(Debug)]
-struct Due {
+struct ScheduledMessage {
     at_ms: u64,
-    order: u64,
+    sequence: u64,
     message: Message,
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledMessage {
     fn eq(&self, other: &Self) -> bool {
-        (self.at_ms, self.order) == (other.at_ms, other.order)
+        (self.at_ms, self.sequence) == (other.at_ms, other.sequence)
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledMessage {}
 
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledMessage {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for ScheduledMessage {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (other.at_ms, other.order).cmp(&(self.at_ms, self.order))
+        (other.at_ms, other.sequence).cmp(&(self.at_ms, self.sequence))
     }
 }
 
-/// One box's part in the shard.
+/// The state of one box in the shard.
 struct Node<P> {
     shard: Shard<P>,
-    run: u64,
+    incarnation: u64,
     alive: bool,
     paused: bool,
-    /// What it can't reach: workers by number, and the table.
-    cut_workers: BTreeSet<usize>,
-    /// The workers whose answers don't come back, although requests arrive.
-    muted_workers: BTreeSet<usize>,
-    cut_table: bool,
+    /// The numbers of the workers that the box can't reach.
+    disconnected_workers: BTreeSet<usize>,
+    /// The workers that receive requests of the box but whose replies are lost.
+    workers_with_lost_replies: BTreeSet<usize>,
+    table_disconnected: bool,
     clock_offset_ms: u64,
-    /// The asks whose answers it still waits for.
-    open: BTreeSet<u64>,
-    /// What arrived while it was paused.
-    held: Vec<Message>,
+    /// The requests whose answers the box still waits for.
+    pending_requests: BTreeSet<u64>,
+    /// The messages that arrived while the box was paused.
+    undelivered: Vec<Message>,
 }
 
-struct WorkerNode {
+struct WorkerState {
     model: WorkerModel,
     settings: WorkerSettings,
     boots: u64,
@@ -120,39 +120,46 @@
     clock_offset_ms: u64,
 }
 
-/// The world. Every choice comes from the seed.
-pub struct World<P = InterferenceAware> {
+/// The simulation. Its seed determines every random choice.
+pub struct Simulation<P = InterferenceAware> {
     pub now_ms: u64,
-    pub weather: Weather,
+    pub network: NetworkConditions,
     pub log: String,
-    /// Whether boxes notice which of them are up, as membership would tell them.
-    pub rerank: bool,
+    /// Whether boxes receive new ranks when other boxes pause or stop, as membership would send them.
+    pub update_ranks: bool,
     settings: ShardSettings,
     shard: ShardId,
-    queue: BinaryHeap<Due>,
-    order: u64,
-    asks: u64,
+    queue: BinaryHeap<ScheduledMessage>,
+    sequence: u64,
+    last_request_id: u64,
     rng: ChaCha8Rng,
     table: TableModel,
     nodes: Vec<Node<P>>,
-    workers: Vec<WorkerNode>,
-    infos: Vec<WorkerInfo>,
-    started: BTreeMap<(TaskId, Attempt), u32>,
-    completed: BTreeMap<TaskId, u32>,
-    changes: u64,
+    workers: Vec<WorkerState>,
+    worker_infos: Vec<WorkerInfo>,
+    start_counts: BTreeMap<(TaskId, Attempt), u32>,
+    completion_counts: BTreeMap<TaskId, u32>,
+    change_count: u64,
     placer: P,
-    /// The work that was done and not saved, in milliseconds.
+    /// The work done after the last checkpoint and lost, in milliseconds.
     pub lost_ms: u64,
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, nodes: usize, workers: usize, settings: ShardSettings) -> Self {
         let placer = InterferenceAware::default();
-        World::with(seed, nodes, workers, settings, placer, worker_settings(Effects::default()))
+        Simulation::with_placer(
+            seed,
+            nodes,
+            workers,
+            settings,
+            placer,
+            worker_settings(Effects::default()),
+        )
     }
 }
 
-/// The settings of the workers of a small world.
+/// Returns the settings of the workers in a small simulation.
 pub fn worker_settings(effects: Effects) -> WorkerSettings {
     WorkerSettings {
         capacity: Resources::new(4_000, 8_192, 1),
@@ -164,8 +171,8 @@
     }
 }
 
-impl<P: Placer + Clone> World<P> {
-    pub fn with(
+impl<P: Placer + Clone> Simulation<P> {
+    pub fn with_placer(
         seed: u64,
         nodes: usize,
         workers: usize,
@@ -175,23 +182,23 @@
     ) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let capacity = worker_settings.capacity;
-        let mut world = Self {
+        let mut sim = Self {
             now_ms: 1_000,
-            weather: Weather::calm(),
+            network: NetworkConditions::reliable(),
             log: String::new(),
-            rerank: true,
+            update_ranks: true,
             settings: settings.clone(),
             shard: "zone-a:0".parse().unwrap(),
             queue: BinaryHeap::new(),
-            order: 0,
-            asks: 0,
+            sequence: 0,
+            last_request_id: 0,
             table: TableModel::default(),
             nodes: Vec::new(),
             workers: Vec::new(),
-            infos: (0..workers).map(|number| info(number, capacity)).collect(),
-            started: BTreeMap::new(),
-            completed: BTreeMap::new(),
-            changes: 0,
+            worker_infos: (0..workers).map(|number| worker_info(number, capacity)).collect(),
+            start_counts: BTreeMap::new(),
+            completion_counts: BTreeMap::new(),
+            change_count: 0,
             placer: placer.clone(),
             lost_ms: 0,
             rng: ChaCha8Rng::seed_from_u64(seed + 1),
@@ -201,9 +208,9 @@
             let model = WorkerModel::new(
                 worker_settings.clone(),
                 number as u64 * 1_000 + 1,
-                world.now_ms + clock_offset_ms,
+                sim.now_ms + clock_offset_ms,
             );
-            world.workers.push(WorkerNode {
+            sim.workers.push(WorkerState {
                 model,
                 settings: worker_settings.clone(),
                 boots: 1,
@@ -214,84 +221,86 @@
         }
         for number in 0..nodes {
             let clock_offset_ms = rng.random_range(0..50_000);
-            world.nodes.push(Node {
-                shard: new_shard(&world.shard, number, 1, &settings, placer.clone()),
-                run: 1,
+            sim.nodes.push(Node {
+                shard: new_shard(&sim.shard, number, 1, &settings, placer.clone()),
+                incarnation: 1,
                 alive: true,
                 paused: false,
-                cut_workers: BTreeSet::new(),
-                muted_workers: BTreeSet::new(),
-                cut_table: false,
+                disconnected_workers: BTreeSet::new(),
+                workers_with_lost_replies: BTreeSet::new(),
+                table_disconnected: false,
                 clock_offset_ms,
-                open: BTreeSet::new(),
-                held: Vec::new(),
+                pending_requests: BTreeSet::new(),
+                undelivered: Vec::new(),
             });
-            world.introduce(number);
+            sim.send_initial_events(number);
         }
-        world.send(world.now_ms, Message::Tick);
-        world
+        sim.schedule(sim.now_ms, Message::Tick);
+        sim
     }
 
     /// Submits a spec as an operator would.
     pub fn submit(&mut self, spec: Spec) {
         let count = spec.tasks;
-        self.put_into_inbox(InboxItem::Submit { spec, first: 0, count });
+        self.write_to_inbox(InboxItem::Submit { spec, first: 0, count });
     }
 
     /// Cancels a spec as an operator would.
     pub fn cancel(&mut self, spec: &SpecName) {
-        self.put_into_inbox(InboxItem::Cancel { spec: spec.clone() });
+        self.write_to_inbox(InboxItem::Cancel { spec: spec.clone() });
     }
 
-    /// Lets time pass, checking the promises after every event.
+    /// Advances the time by `ms` milliseconds and checks the promises after every event.
     pub fn run_ms(&mut self, ms: u64) {
         let until_ms = self.now_ms + ms;
-        while self.queue.peek().is_some_and(|due| due.at_ms <= until_ms) {
-            let Some(due) = self.queue.pop() else { break };
-            self.now_ms = due.at_ms;
-            self.deliver(due.message);
+        while self.queue.peek().is_some_and(|scheduled| scheduled.at_ms <= until_ms) {
+            let Some(scheduled) = self.queue.pop() else { break };
+            self.now_ms = scheduled.at_ms;
+            self.deliver(scheduled.message);
             self.check();
         }
         self.now_ms = until_ms;
     }
 
-    fn note(&mut self, text: String) {
+    fn log_line(&mut self, text: String) {
         let _ = writeln!(self.log, "{:>6} {text}", self.now_ms - 1_000);
     }
 
-    fn introduce(&mut self, node: usize) {
-        self.drive(node, Event::Ranked(Some(node)));
-        self.drive(node, Event::FleetSeen(self.infos.clone()));
+    fn send_initial_events(&mut self, node: usize) {
+        self.handle_event(node, Event::Ranked(Some(node)));
+        self.handle_event(node, Event::FleetSeen(self.worker_infos.clone()));
     }
 
-    fn put_into_inbox(&mut self, item: InboxItem) {
-        self.changes += 1;
-        let op = OpId::from_change(&format!("change-{}", self.changes));
+    fn write_to_inbox(&mut self, item: InboxItem) {
+        self.change_count += 1;
+        let op = OpId::from_change(&format!("change-{}", self.change_count));
         let key = Key::inbox(&self.shard, &op);
         let write = Write { key, record: Some(Record::Inbox { item }) };
         let transaction = Transaction { op, conditions: Vec::new(), writes: vec![write] };
-        self.table.commit(opaque(&transaction));
+        self.table.commit(to_opaque(&transaction));
     }
 
-    fn send(&mut self, at_ms: u64, message: Message) {
-        self.order += 1;
-        self.queue.push(Due { at_ms, order: self.order, message });
+    fn schedule(&mut self, at_ms: u64, message: Message) {
+        self.sequence += 1;
+        self.queue.push(ScheduledMessage { at_ms, sequence: self.sequence, message });
     }
 
-    /// Sends with the weather's delays, losses and doubles.
-    fn send_through_weather(&mut self, message: Message) {
-        let Weather { min_delay_ms, max_delay_ms, lose_percent, double_percent, .. } = self.weather;
-        if self.rng.random_range(0..100) < lose_percent {
+    /// Sends a message with the delays, losses and duplicates of the network conditions.
+    fn send_over_network(&mut self, message: Message) {
+        let NetworkConditions {
+            min_delay_ms, max_delay_ms, loss_percent, duplicate_percent, ..
+        } = self.network;
+        if self.rng.random_range(0..100) < loss_percent {
             return;
         }
-        let copies = 1 + u32::from(self.rng.random_range(0..100) < double_percent);
+        let copies = 1 + u32::from(self.rng.random_range(0..100) < duplicate_percent);
         for _ in 0..copies {
             let delay_ms = self.rng.random_range(min_delay_ms..=max_delay_ms);
-            self.send(self.now_ms + delay_ms, message.clone());
+            self.schedule(self.now_ms + delay_ms, message.clone());
         }
     }
 
-    fn drive(&mut self, node: usize, event: Event) {
+    fn handle_event(&mut self, node: usize, event: Event) {
         let state = &mut self.nodes[node];
         if !state.alive {
             return;
@@ -299,83 +308,106 @@
         let now = Time::from_ms(self.now_ms + state.clock_offset_ms);
         let actions = state.shard.handle(event, now);
         for action in actions {
-            self.start(node, action);
+            self.execute(node, action);
         }
     }
 
-    fn start(&mut self, node: usize, action: Action) {
-        self.asks += 1;
-        let ask = self.asks;
-        let run = self.nodes[node].run;
-        let (silence, message) = match action {
-            Action::Log(decision) => return self.note(format!("box-{node} {decision}")),
+    fn execute(&mut self, node: usize, action: Action) {
+        self.last_request_id += 1;
+        let request_id = self.last_request_id;
+        let incarnation = self.nodes[node].incarnation;
+        let (timeout, message) = match action {
+            Action::Log(decision) => return self.log_line(format!("box-{node} {decision}")),
             Action::Publish(set) => {
                 let endpoints: Vec<String> = set
                     .endpoints
                     .iter()
-                    .map(|e| {
+                    .map(|placed| {
                         format!(
                             "{}@{}{}",
-                            e.service,
-                            e.worker,
-                            if e.leaving { " leaving" } else { "" }
+                            placed.service,
+                            placed.worker,
+                            if placed.leaving { " leaving" } else { "" }
                         )
                     })
                     .collect();
-                return self.note(format!("box-{node} publishes [{}]", endpoints.join(", ")));
+                return self.log_line(format!("box-{node} publishes [{}]", endpoints.join(", ")));
             }
-            Action::Sync(info, request) => {
-                let worker = self.infos.iter().position(|known| known.id == info.id).unwrap();
-                let message = Message::ToWorker { node, run, ask, worker, request };
-                (Event::WorkerSilent(info.id), message)
+            Action::Sync(worker_info, request) => {
+                let worker = self
+                    .worker_infos
+                    .iter()
+                    .position(|candidate| candidate.id == worker_info.id)
+                    .unwrap();
+                let message = Message::ToWorker { node, incarnation, request_id, worker, request };
+                (Event::WorkerSilent(worker_info.id), message)
             }
             action => {
-                let silence = match &action {
+                let timeout = match &action {
                     Action::ReadLease => Event::LeaseReadFailed,
                     Action::Load => Event::LoadFailed,
                     Action::ReadInbox => Event::InboxReadFailed,
                     _ => Event::CommitAnswered(CommitAnswer::Unknown),
                 };
-                (silence, Message::ToTable { node, run, ask, action })
+                (timeout, Message::ToTable { node, incarnation, request_id, action })
             }
         };
-        self.nodes[node].open.insert(ask);
-        self.send_through_weather(message);
-        let silence = Message::Answer { node, run, ask, event: silence };
-        self.send(self.now_ms + TIMEOUT_MS, silence);
+        self.nodes[node].pending_requests.insert(request_id);
+        self.send_over_network(message);
+        let timeout = Message::Answer { node, incarnation, request_id, event: timeout };
+        self.schedule(self.now_ms + TIMEOUT_MS, timeout);
     }
 
     fn deliver(&mut self, message: Message) {
         match message {
             Message::Tick => self.tick(),
-            Message::ToTable { node, run, ask, action } => {
-                if !self.weather.table_down && !self.nodes[node].cut_table {
-                    let event = self.ask_table(action);
-                    self.send_through_weather(Message::Answer { node, run, ask, event });
+            Message::ToTable { node, incarnation, request_id, action } => {
+                if !self.network.table_down && !self.nodes[node].table_disconnected {
+                    let event = self.execute_on_table(action);
+                    self.send_over_network(Message::Answer {
+                        node,
+                        incarnation,
+                        request_id,
+                        event,
+                    });
                 }
             }
-            Message::ToWorker { node, run, ask, worker, request } => {
+            Message::ToWorker { node, incarnation, request_id, worker, request } => {
                 let state = &mut self.workers[worker];
-                if state.up && !state.paused && !self.nodes[node].cut_workers.contains(&worker) {
+                if state.up
+                    && !state.paused
+                    && !self.nodes[node].disconnected_workers.contains(&worker)
+                {
                     let clock_ms = self.now_ms + state.clock_offset_ms;
                     let reply = state.model.sync(request, clock_ms);
                     self.collect_events(worker);
-                    if self.nodes[node].muted_workers.contains(&worker) {
+                    if self.nodes[node].workers_with_lost_replies.contains(&worker) {
                         return;
                     }
-                    let id = self.infos[worker].id.clone();
+                    let id = self.worker_infos[worker].id.clone();
                     let event = Event::WorkerReplied(id, reply);
-                    self.send_through_weather(Message::Answer { node, run, ask, event });
+                    self.send_over_network(Message::Answer {
+                        node,
+                        incarnation,
+                        request_id,
+                        event,
+                    });
                 }
             }
-            Message::Answer { node, run, ask, event } => {
+            Message::Answer { node, incarnation, request_id, event } => {
                 if self.nodes[node].paused {
-                    self.nodes[node].held.push(Message::Answer { node, run, ask, event });
+                    self.nodes[node].undelivered.push(Message::Answer {
+                        node,
+                        incarnation,
+                        request_id,
+                        event,
+                    });
                     return;
                 }
-                let current = self.nodes[node].run == run && self.nodes[node].open.remove(&ask);
-                if current {
-                    self.drive(node, event);
+                let is_pending = self.nodes[node].incarnation == incarnation
+                    && self.nodes[node].pending_requests.remove(&request_id);
+                if is_pending {
+                    self.handle_event(node, event);
                 }
             }
         }
@@ -394,22 +426,22 @@
             if self.nodes[node].paused || !self.nodes[node].alive {
                 continue;
             }
-            if self.rerank {
-                self.drive(node, Event::Ranked(Some(rank)));
+            if self.update_ranks {
+                self.handle_event(node, Event::Ranked(Some(rank)));
             }
             rank += 1;
-            self.drive(node, Event::Tick);
+            self.handle_event(node, Event::Tick);
         }
-        self.send(self.now_ms + TICK_MS, Message::Tick);
+        self.schedule(self.now_ms + TICK_MS, Message::Tick);
     }
 
-    fn ask_table(&mut self, action: Action) -> Event {
+    fn execute_on_table(&mut self, action: Action) -> Event {
         match action {
             Action::ReadLease => {
                 let row = self.table.read(Key::lease(&self.shard).as_str()).cloned();
                 Event::LeaseRead(row.map(|row| {
                     let record = serde_json::from_value(row.record).unwrap();
-                    let Record::Lease(lease) = record else { panic!("not a lease") };
+                    let Record::Lease(lease) = record else { panic!("the row is not a lease") };
                     (row.version, row.op, lease)
                 }))
             }
@@ -418,13 +450,15 @@
                 let rows = self.table.scan(Prefix::inbox(&self.shard).as_str());
                 let items = rows.into_iter().map(|row| {
                     let record = serde_json::from_value(row.record).unwrap();
-                    let Record::Inbox { item } = record else { panic!("not a message") };
+                    let Record::Inbox { item } = record else {
+                        panic!("the row is not an inbox item")
+                    };
                     (row.key, row.version, item)
                 });
                 Event::InboxRead(items.collect())
             }
             Action::Commit(transaction) => {
-                Event::CommitAnswered(self.table.commit(opaque(&transaction)))
+                Event::CommitAnswered(self.table.commit(to_opaque(&transaction)))
             }
             Action::Sync(..) | Action::Publish(_) | Action::Log(_) => Event::Tick,
         }
@@ -434,16 +468,16 @@
 fn new_shard<P: Placer>(
     id: &ShardId,
     number: usize,
-    run: u64,
+    incarnation: u64,
     settings: &ShardSettings,
     placer: P,
 ) -> Shard<P> {
-    let me: BoxId = format!("box-{number}").parse().unwrap();
+    let box_id: BoxId = format!("box-{number}").parse().unwrap();
     let relief = ReliefSettings::default();
-    Shard::new(id.clone(), me, run, settings.clone(), relief, placer)
+    Shard::new(id.clone(), box_id, incarnation, settings.clone(), relief, placer)
 }
 
-fn info(number: usize, capacity: Resources) -> WorkerInfo {
+fn worker_info(number: usize, capacity: Resources) -> WorkerInfo {
     let address: SocketAddr = format!("127.0.0.1:{}", 20_000 + number).parse().unwrap();
     WorkerInfo {
         id: format!("worker-{number}").parse::<WorkerId>().unwrap(),
@@ -456,11 +490,11 @@
     }
 }
 
-fn opaque(transaction: &Transaction) -> OpaqueTransaction {
+fn to_opaque(transaction: &Transaction) -> OpaqueTransaction {
     serde_json::from_value(serde_json::to_value(transaction).unwrap()).unwrap()
 }
 
-/// A spec of one size, for tests.
+/// Returns a spec whose tasks need one CPU and 1 GiB of memory each.
 pub fn spec(name: &str, kind: Kind, tasks: u32, run_ms: u64) -> Spec {
     Spec::builder()
         .name(name.parse().unwrap())
--- a/crates/kitetrail-standins/tests/world/views.rs
+++ b/crates/kitetrail-standins/tests/world/views.rs
@@ -1,4 +1,4 @@
-//! What can be seen of the world.
+//! Read access to the state of the simulation.
 
 use kitetrail_core::{
     Attempt, SpecName,
@@ -7,24 +7,25 @@
     task::TaskRow,
 };
 
-use super::World;
+use super::Simulation;
 
-impl<P: Placer + Clone> World<P> {
-    /// How many tasks of a spec ran to their end, as workers saw it.
+impl<P: Placer + Clone> Simulation<P> {
+    /// Returns how often each task of a spec that completed did so, as seen by workers.
     pub fn completions(&self, spec: &str) -> Vec<u32> {
-        let of_spec = self.completed.iter().filter(|(task, _)| task.spec.as_str() == spec);
-        of_spec.map(|(_, count)| *count).collect()
+        let tasks_of_spec =
+            self.completion_counts.iter().filter(|(task, _)| task.spec.as_str() == spec);
+        tasks_of_spec.map(|(_, count)| *count).collect()
     }
 
-    /// The work of all tasks that ran to their end, in milliseconds.
-    pub fn done_work_ms(&mut self) -> u64 {
-        let completed = self.completed.clone();
+    /// Returns the total work of all tasks that completed, in milliseconds.
+    pub fn completed_work_ms(&mut self) -> u64 {
+        let completion_counts = self.completion_counts.clone();
         let rows = self.rows();
-        let done = rows.iter().filter(|row| completed.contains_key(&row.id));
+        let done = rows.iter().filter(|row| completion_counts.contains_key(&row.id));
         done.map(|row| row.spec.expected_run_ms).sum()
     }
 
-    /// The rows of all tasks in the table.
+    /// Returns the rows of all tasks in the table.
     pub fn rows(&mut self) -> Vec<TaskRow> {
         let rows = self.table.scan(Prefix::tasks(&self.shard).as_str());
         let rows = rows.into_iter().map(|row| serde_json::from_value(row.record).unwrap());
@@ -35,26 +36,26 @@
         .collect()
     }
 
-    /// The run of a task and the worker where it runs now.
-    pub fn where_runs(&self, task: &str) -> Vec<(usize, Attempt)> {
-        let mut places = Vec::new();
+    /// Returns the running attempts of a task, each with the number of its worker.
+    pub fn running_attempts(&self, task: &str) -> Vec<(usize, Attempt)> {
+        let mut attempts = Vec::new();
         for (number, worker) in self.workers.iter().enumerate() {
             for (running, attempt, _) in worker.model.running_tasks() {
                 if running.to_string() == task {
-                    places.push((number, attempt));
+                    attempts.push((number, attempt));
                 }
             }
         }
-        places
+        attempts
     }
 
-    /// How much slower than alone a service runs now, on each worker that serves it.
+    /// Returns the current slowdown of a service on each worker that serves it, where 1 is undisturbed.
     pub fn slowdowns(&self, service: &SpecName) -> Vec<f64> {
         let serving = self.workers.iter().filter(|worker| worker.model.serves(service));
         serving.map(|worker| worker.model.slowdown_of(service)).collect()
     }
 
-    /// The box that owns the shard, as it sees itself.
+    /// Returns the first box that considers itself the owner of the shard.
     pub fn owner(&self) -> Option<usize> {
         self.nodes.iter().position(|node| node.alive && node.shard.is_owner())
     }
@@ -67,13 +68,13 @@
         self.table.rows_written
     }
 
-    /// How many specs were submitted or cancelled.
+    /// Returns the number of submitted and cancelled specs.
     pub fn submissions(&self) -> u64 {
-        self.changes
+        self.change_count
     }
 
-    /// How often any task started.
-    pub fn starts(&self) -> usize {
-        self.started.len()
+    /// Returns the number of attempts that started, over all tasks.
+    pub fn start_count(&self) -> usize {
+        self.start_counts.len()
     }
 }
