--- a/crates/kitetrail-standins/examples/compare_placement.rs
+++ b/crates/kitetrail-standins/examples/compare_placement.rs
@@ -77,12 +77,12 @@
     for _ in 0..TASKS_PER_WAVE {
         counts[rng.random_range(0..BATCH_CLASSES.len())] += 1;
     }
-    let of_class = |(class, count): (&str, u32)| {
+    let job_of_class = |(class, count): (&str, u32)| {
         let run_ms = rng.random_range(10_000..30_000);
         let job = spec(&format!("{class}-{number}"), Kind::Job, count.max(1), run_ms);
         Spec { class: class.parse().unwrap(), ..job }
     };
-    BATCH_CLASSES.into_iter().zip(counts).map(of_class).collect()
+    BATCH_CLASSES.into_iter().zip(counts).map(job_of_class).collect()
 }
 
 fn compare<P: Placer + Clone>(label: &str, weighting: &Weighting, mut placer: P, relief: bool) {
--- a/crates/kitetrail-standins/tests/placement_failures.rs
+++ b/crates/kitetrail-standins/tests/placement_failures.rs
@@ -121,13 +121,13 @@
 /// the time after which the owner starts the task elsewhere.
 #[test]
 fn leases_lapse_safely_when_replies_to_renewals_are_lost() {
-    for muted_ms in (1_000..12_000).step_by(500) {
+    for replies_lost_ms in (1_000..12_000).step_by(500) {
         let mut sim = simulation(1, 3);
         sim.submit(spec("notices", Kind::Watcher, 1, 0));
         sim.run_ms(2_000);
         let (worker, _) = sim.running_attempts("notices:0")[0];
         sim.drop_replies(0, worker);
-        sim.run_ms(muted_ms);
+        sim.run_ms(replies_lost_ms);
         sim.disconnect_worker(0, worker);
         sim.run_ms(20_000);
         assert!(sim.log.contains("lease lapsed"), "{}", sim.log);
@@ -242,7 +242,7 @@
     assert!(!sim.log.contains("rests worker-1"), "{}", sim.log);
 }
 
-/// An urgent task evicts other tasks when no worker has free capacity, and starts within 3.3 s.
+/// An urgent task preempts other tasks when no worker has free capacity, and starts within 3.3 s.
 #[test]
 fn an_urgent_task_starts_within_3300_ms_on_a_full_worker() {
     let mut sim = simulation(1, 1);
--- a/crates/kitetrail-standins/tests/system_requests.rs
+++ b/crates/kitetrail-standins/tests/system_requests.rs
@@ -1,4 +1,5 @@
-//! P4 to P8 and P10 with real processes, judged by what workers and callers wrote down.
+//! Tests promises P4 to P8 and P10 with real processes, checked against the journals of workers
+//! and callers.
 #![allow(clippy::unwrap_used, reason = "a test may panic")]
 
 mod system;
@@ -10,47 +11,47 @@
 
 use kitetrail_standins::journal::{CallerEntry, WorkerEvent, shared_clock_ms};
 use serde_json::json;
-use system::System;
+use system::TestCluster;
 
 fn count(entries: &[CallerEntry], outcome: &str) -> usize {
     entries.iter().filter(|entry| entry.outcome == outcome).count()
 }
 
-/// P4, P5, P6: answers cut short, swapped, late, or never sent after the call ran.
+/// P4, P5, P6: endpoints truncate answers, swap them, or close the connection after the call ran.
 #[test]
-fn answers_that_go_wrong_are_never_passed_on() {
-    let mut system = System::new(1, 4, 2);
-    system.start_platform();
-    system.start_worker(1, &[]);
-    system.start_worker(2, &["--fault", "truncate", "--fault-every", "4"]);
-    system.start_worker(3, &["--fault", "swap", "--fault-every", "4"]);
-    system.start_worker(4, &["--fault", "close-after-run", "--fault-every", "4"]);
-    system.start_entry(1);
-    system.start_entry(2);
-    system.wait_ready(1);
-    system.create_service("validate", 4);
-    let targets = system.all_callers();
+fn faulty_answers_of_endpoints_are_never_forwarded() {
+    let mut cluster = TestCluster::new(1, 4, 2);
+    cluster.start_platform();
+    cluster.start_worker(1, &[]);
+    cluster.start_worker(2, &["--fault", "truncate", "--fault-every", "4"]);
+    cluster.start_worker(3, &["--fault", "swap", "--fault-every", "4"]);
+    cluster.start_worker(4, &["--fault", "close-after-run", "--fault-every", "4"]);
+    cluster.start_box(1);
+    cluster.start_box(2);
+    cluster.wait_until_ready(1);
+    cluster.create_service("validate", 4);
+    let targets = cluster.all_callers_addresses();
     let load = ["--targets", &targets, "--service", "validate", "--rate", "150", "--count", "600"];
     let resend = ["--resend-percent", "50"];
-    system.start_callers("short", &[&load[..], &resend].concat());
-    let answers = system.finish_callers("short");
+    cluster.start_callers("short", &[&load[..], &resend].concat());
+    let answers = cluster.wait_for_callers("short");
     let long = ["--answer-bytes", "200000"];
-    system.start_callers("long", &[&load[..], &long].concat());
-    let long_answers = system.finish_callers("long");
-    assert!(count(&answers, "unknown") > 0, "the faults must have struck");
+    cluster.start_callers("long", &[&load[..], &long].concat());
+    let long_answers = cluster.wait_for_callers("long");
+    assert!(count(&answers, "unknown") > 0, "some calls must have an unknown outcome");
     assert!(count(&answers, "done") > 300, "most calls must be answered");
-    assert!(count(&long_answers, "none") > 0, "a long answer that breaks off must not end well");
-    system.judge(&["short", "long"], &[]);
+    assert!(count(&long_answers, "none") > 0, "a truncated long answer must not look complete");
+    cluster.check_journals(&["short", "long"], &[]);
 }
 
-/// P5, P6: an entry box is killed while calls are under way; callers send their keys
-/// again through another one.
+/// P5, P6: an entry box is killed while calls are in progress, and callers repeat their keys
+/// through another one.
 #[test]
-fn a_killed_entry_box_repeats_nothing() {
-    let mut system = System::new(2, 3, 3);
-    system.start();
-    system.create_service("hold", 3);
-    let targets = system.all_callers();
+fn calls_with_keys_run_once_when_an_entry_box_is_killed() {
+    let mut cluster = TestCluster::new(2, 3, 3);
+    cluster.start();
+    cluster.create_service("hold", 3);
+    let targets = cluster.all_callers_addresses();
     let load = [
         "--targets",
         &targets,
@@ -69,21 +70,21 @@
         "--resend-percent",
         "100",
     ];
-    system.start_callers("holds", &load);
+    cluster.start_callers("holds", &load);
     std::thread::sleep(std::time::Duration::from_secs(2));
-    system.kill("entry-2");
-    let answers = system.finish_callers("holds");
+    cluster.kill("entry-2");
+    let answers = cluster.wait_for_callers("holds");
     assert!(count(&answers, "done") > 150);
-    system.judge(&["holds"], &[]);
+    cluster.check_journals(&["holds"], &[]);
 }
 
-/// P5, P6: the table is down, then loses answers, while calls with keys come in.
+/// P5, P6: the table loses answers and then goes down while calls with keys arrive.
 #[test]
-fn a_silent_table_lets_no_key_run_twice() {
-    let mut system = System::new(3, 3, 2);
-    system.start();
-    system.create_service("bid", 3);
-    let targets = system.all_callers();
+fn no_key_runs_twice_while_the_table_is_unavailable() {
+    let mut cluster = TestCluster::new(3, 3, 2);
+    cluster.start();
+    cluster.create_service("bid", 3);
+    let targets = cluster.all_callers_addresses();
     let load = [
         "--targets",
         &targets,
@@ -98,30 +99,30 @@
         "--resend-percent",
         "100",
     ];
-    system.start_callers("bids", &load);
+    cluster.start_callers("bids", &load);
     std::thread::sleep(std::time::Duration::from_secs(1));
-    system.set_table_faults(json!({ "lose_answers_percent": 40 }));
+    cluster.set_table_faults(json!({ "lose_answers_percent": 40 }));
     std::thread::sleep(std::time::Duration::from_secs(2));
-    system.set_table_faults(json!({ "down": true }));
+    cluster.set_table_faults(json!({ "down": true }));
     std::thread::sleep(std::time::Duration::from_secs(1));
-    system.set_table_faults(json!({}));
-    let answers = system.finish_callers("bids");
-    assert!(count(&answers, "not-run") > 0, "the outage must have struck");
+    cluster.set_table_faults(json!({}));
+    let answers = cluster.wait_for_callers("bids");
+    assert!(count(&answers, "not-run") > 0, "some calls must be refused during the outage");
     assert!(count(&answers, "done") > 100);
-    system.judge(&["bids"], &[]);
+    cluster.check_journals(&["bids"], &[]);
 }
 
-/// P6: a key sent again through another entry box gets the first answer, and its call
-/// does not run again; after a while the answer is forgotten.
+/// P6: a key repeated through another entry box gets the first answer, and its call does not
+/// run again. The answer is deleted after the retention time.
 #[test]
-fn a_repeated_key_gets_the_first_answer() {
-    let mut system = System::new(7, 2, 2);
-    system.settings = "[requests]\ncall_retention_ms = 3000\n".to_owned();
-    system.start();
-    system.create_service("hold", 2);
+fn a_repeated_key_gets_the_first_answer_until_it_expires() {
+    let mut cluster = TestCluster::new(7, 2, 2);
+    cluster.extra_settings = "[requests]\ncall_retention_ms = 3000\n".to_owned();
+    cluster.start();
+    cluster.create_service("hold", 2);
     let post = |number: usize| {
         let head = "POST /services/hold/seat HTTP/1.1\r\nidempotency-key: k1\r\nx-request-id: k1\r\ncontent-length: 4\r\nconnection: close\r\n\r\n";
-        let mut stream = TcpStream::connect(system.callers(number)).unwrap();
+        let mut stream = TcpStream::connect(cluster.callers_address(number)).unwrap();
         stream.write_all(format!("{head}seat").as_bytes()).unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).unwrap();
@@ -130,104 +131,107 @@
     let body = |answer: &str| answer.split("\r\n\r\n").nth(1).unwrap_or("").to_owned();
     let first = post(1);
     assert!(first.starts_with("HTTP/1.1 200"), "{first}");
-    system.until("the answer is kept", || post(2).contains("x-replayed: true"));
-    assert_eq!(body(&post(2)), body(&first), "the same answer");
+    cluster.wait_until("the answer is stored", || post(2).contains("x-replayed: true"));
+    assert_eq!(body(&post(2)), body(&first), "both answers must be the same");
     let runs = || {
-        let entries = (1..=2).flat_map(|n| system.worker_entries(n));
-        entries.filter(|e| matches!(e.event, WorkerEvent::Execute { .. })).count()
+        let entries = (1..=2).flat_map(|n| cluster.worker_entries(n));
+        entries.filter(|entry| matches!(entry.event, WorkerEvent::Execute { .. })).count()
     };
-    assert_eq!(runs(), 1, "P6: it ran again");
-    system.until("the answer is forgotten", || {
-        let uri = format!("http://{}/v1/rows?prefix=call/", system.table());
-        !system.get(&uri).contains("claimed") && !system.get(&uri).contains("done")
+    assert_eq!(runs(), 1, "P6: the call ran again");
+    cluster.wait_until("the answer is deleted", || {
+        let uri = format!("http://{}/v1/rows?prefix=call/", cluster.table_address());
+        !cluster.get_text(&uri).contains("claimed") && !cluster.get_text(&uri).contains("done")
     });
 }
 
-/// P6: a caller hangs up while its call runs and sends its key again by another entry box.
+/// P6: a caller disconnects while its call runs and repeats its key through another entry box.
 #[test]
-fn a_caller_that_hangs_up_does_not_free_its_key() {
-    let mut system = System::new(8, 1, 2);
-    system.start();
-    system.create_service("hold", 1);
+fn a_key_stays_claimed_after_its_caller_disconnects() {
+    let mut cluster = TestCluster::new(8, 1, 2);
+    cluster.start();
+    cluster.create_service("hold", 1);
     let head = "POST /services/hold/seat HTTP/1.1\r\nidempotency-key: k2\r\nx-request-id: k2\r\nx-work-us: 1500000\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
     let runs = || {
-        let entries = system.worker_entries(1);
-        entries.iter().filter(|e| matches!(e.event, WorkerEvent::Execute { .. })).count()
+        let entries = cluster.worker_entries(1);
+        entries.iter().filter(|entry| matches!(entry.event, WorkerEvent::Execute { .. })).count()
     };
-    let mut stream = TcpStream::connect(system.callers(1)).unwrap();
+    let mut stream = TcpStream::connect(cluster.callers_address(1)).unwrap();
     stream.write_all(head.as_bytes()).unwrap();
-    system.until("the call runs", || runs() == 1);
+    cluster.wait_until("the call runs", || runs() == 1);
     drop(stream);
-    // The box notices, and whatever it does about the key reaches the table.
+    // Gives the box time to notice the disconnection and to write to the table.
     std::thread::sleep(std::time::Duration::from_millis(500));
-    let mut stream = TcpStream::connect(system.callers(2)).unwrap();
+    let mut stream = TcpStream::connect(cluster.callers_address(2)).unwrap();
     stream.write_all(head.as_bytes()).unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
     assert!(answer.contains("x-outcome: unknown"), "{answer}");
-    assert_eq!(runs(), 1, "P6: it ran again");
+    assert_eq!(runs(), 1, "P6: the call ran again");
 }
 
-/// A call that every endpoint refused was not run, so its key is free again.
+/// A call that every endpoint refused has not run, so its key can be claimed again.
 #[test]
-fn a_refused_call_gives_its_key_back() {
-    let mut system = System::new(9, 1, 1);
-    system.start_platform();
-    system.start_worker(1, &["--slots", "0", "--backlog", "0"]);
-    system.start_entry(1);
-    system.wait_ready(1);
-    system.create_service("hold", 1);
+fn a_call_refused_by_every_endpoint_releases_its_key() {
+    let mut cluster = TestCluster::new(9, 1, 1);
+    cluster.start_platform();
+    cluster.start_worker(1, &["--slots", "0", "--backlog", "0"]);
+    cluster.start_box(1);
+    cluster.wait_until_ready(1);
+    cluster.create_service("hold", 1);
     let head = "POST /services/hold/seat HTTP/1.1\r\nidempotency-key: k3\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
-    let mut stream = TcpStream::connect(system.callers(1)).unwrap();
+    let mut stream = TcpStream::connect(cluster.callers_address(1)).unwrap();
     stream.write_all(head.as_bytes()).unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
     assert!(answer.contains("x-outcome: not-run"), "{answer}");
-    let uri = format!("http://{}/v1/rows?prefix=call/", system.table());
-    system.until("the key is free", || !system.get(&uri).contains("claimed"));
+    let uri = format!("http://{}/v1/rows?prefix=call/", cluster.table_address());
+    cluster.wait_until("the key is released", || !cluster.get_text(&uri).contains("claimed"));
 }
 
-/// P7: a worker that the box list has as leaving gets no new requests after a while.
+/// P7: a worker that the box list shows as leaving gets no new requests after a delay.
 #[test]
 fn a_leaving_endpoint_gets_no_new_requests() {
-    let mut system = System::new(4, 4, 2);
-    system.start();
-    system.create_service("validate", 3);
-    let targets = system.all_callers();
+    let mut cluster = TestCluster::new(4, 4, 2);
+    cluster.start();
+    cluster.create_service("validate", 3);
+    let targets = cluster.all_callers_addresses();
     let load = ["--targets", &targets, "--service", "validate", "--rate", "100", "--count", "900"];
-    system.start_callers("calls", &load);
+    cluster.start_callers("calls", &load);
     std::thread::sleep(std::time::Duration::from_secs(1));
     let serving = (1..=4).find(|n| {
-        system.worker_entries(*n).iter().any(|e| matches!(e.event, WorkerEvent::Execute { .. }))
+        cluster
+            .worker_entries(*n)
+            .iter()
+            .any(|entry| matches!(entry.event, WorkerEvent::Execute { .. }))
     });
     let leaving = serving.unwrap();
-    system.set_box_state(&format!("worker-{leaving}"), "leaving");
-    system.until("entry boxes know that the endpoint leaves", || {
+    cluster.set_box_state(&format!("worker-{leaving}"), "leaving");
+    cluster.wait_until("entry boxes show the worker as leaving", || {
         (1..=2).all(|n| {
-            let status = system.ask(n, &["box", "list"]);
+            let status = cluster.run_cli_json(n, &["box", "list"]);
             let workers = status["workers"].as_array().cloned().unwrap_or_default();
             workers.iter().any(|w| w["state"] == "leaving")
         })
     });
-    // What was on its way when the box list was read may still arrive.
+    // Requests in flight when the box list was read may still arrive.
     std::thread::sleep(std::time::Duration::from_millis(1_500));
     let quiet_from_ms = shared_clock_ms();
-    let answers = system.finish_callers("calls");
-    let after = system.worker_entries(leaving).into_iter().filter(|entry| {
+    let answers = cluster.wait_for_callers("calls");
+    let after = cluster.worker_entries(leaving).into_iter().filter(|entry| {
         entry.at_ms > quiet_from_ms && matches!(entry.event, WorkerEvent::Execute { .. })
     });
     assert_eq!(after.count(), 0, "P7: a leaving endpoint got new requests");
-    assert_eq!(count(&answers, "done"), 900, "no call suffers");
-    system.judge(&["calls"], &[]);
+    assert_eq!(count(&answers, "done"), 900, "every call must complete");
+    cluster.check_journals(&["calls"], &[]);
 }
 
-/// P8: entry boxes stop in order while long calls are under way.
+/// P8: an entry box stops gracefully while long calls are in progress.
 #[test]
-fn a_planned_stop_cuts_nothing_off() {
-    let mut system = System::new(5, 3, 2);
-    system.start();
-    system.create_service("validate", 3);
-    let target = system.callers(1).to_string();
+fn a_graceful_stop_completes_the_calls_in_progress() {
+    let mut cluster = TestCluster::new(5, 3, 2);
+    cluster.start();
+    cluster.create_service("validate", 3);
+    let target = cluster.callers_address(1).to_string();
     let load = [
         "--targets",
         &target,
@@ -242,25 +246,25 @@
         "--timeout-ms",
         "10000",
     ];
-    system.start_callers("long", &load);
-    system.until("the calls run", || {
-        let entries = (1..=3).flat_map(|n| system.worker_entries(n));
-        entries.filter(|e| matches!(e.event, WorkerEvent::Execute { .. })).count() >= 20
+    cluster.start_callers("long", &load);
+    cluster.wait_until("the calls run", || {
+        let entries = (1..=3).flat_map(|n| cluster.worker_entries(n));
+        entries.filter(|entry| matches!(entry.event, WorkerEvent::Execute { .. })).count() >= 20
     });
-    assert!(system.stop("entry-1"), "the box must stop in order");
-    let answers = system.finish_callers("long");
+    assert!(cluster.stop_gracefully("entry-1"), "the box must stop gracefully");
+    let answers = cluster.wait_for_callers("long");
     assert_eq!(count(&answers, "done"), 20, "P8: {answers:?}");
-    system.judge(&["long"], &[]);
+    cluster.check_journals(&["long"], &[]);
 }
 
-/// P10: under ten times the load that fits, calls given up are told so, with when to
-/// come back, and none of them ran.
+/// P10: under ten times the load that the endpoints can serve, rejected calls carry a
+/// Retry-After header and have not run.
 #[test]
-fn given_up_calls_are_told_when_to_come_back() {
-    let mut system = System::new(6, 2, 2);
-    system.start();
-    system.create_service("validate", 2);
-    let targets = system.all_callers();
+fn calls_rejected_under_overload_carry_retry_after() {
+    let mut cluster = TestCluster::new(6, 2, 2);
+    cluster.start();
+    cluster.create_service("validate", 2);
+    let targets = cluster.all_callers_addresses();
     let load = [
         "--targets",
         &targets,
@@ -275,12 +279,12 @@
         "--timeout-ms",
         "1000",
     ];
-    system.start_callers("flood", &load);
-    let answers = system.finish_callers("flood");
+    cluster.start_callers("flood", &load);
+    let answers = cluster.wait_for_callers("flood");
     let not_run: Vec<_> = answers.iter().filter(|entry| entry.outcome == "not-run").collect();
-    assert!(not_run.len() > 3_000, "the load must be too much");
-    let untold = not_run.iter().filter(|entry| entry.retry_after_ms.is_none()).count();
-    assert_eq!(untold, 0, "P10: given-up calls without Retry-After");
-    assert_eq!(count(&answers, "none"), 0, "every call gets an answer");
-    system.judge(&["flood"], &[]);
+    assert!(not_run.len() > 3_000, "the load must exceed the capacity");
+    let without_retry_after = not_run.iter().filter(|entry| entry.retry_after_ms.is_none()).count();
+    assert_eq!(without_retry_after, 0, "P10: rejected calls without Retry-After");
+    assert_eq!(count(&answers, "none"), 0, "every call must get an answer");
+    cluster.check_journals(&["flood"], &[]);
 }
