--- a/crates/kitetrail-standins/tests/placement_failures.rs
+++ b/crates/kitetrail-standins/tests/placement_failures.rs
@@ -18,7 +18,8 @@
 use kitetrail_standins::worker::Effects;
 use world::{NetworkConditions, Simulation, spec, worker_settings};
 
-/// How long an owner without the table renews leases, short enough to elapse within a test.
+/// The time for which an owner without the table renews leases, short enough to elapse within
+/// a test.
 const DETACHED: Duration = Duration::from_secs(15);
 
 fn simulation(nodes: usize, workers: usize) -> Simulation {
@@ -49,9 +50,9 @@
     sim.disconnect_worker(1, worker);
     sim.disconnect_worker(0, 1 - worker);
     sim.run_ms(60_000);
-    let places = sim.running_attempts("notices:0");
+    let attempts = sim.running_attempts("notices:0");
     assert_eq!(
-        places,
+        attempts,
         [(1 - worker, Attempt(2))],
         "the task must run on the other worker\n{}",
         sim.log
--- a/crates/kitetrail-standins/tests/placement_properties.rs
+++ b/crates/kitetrail-standins/tests/placement_properties.rs
@@ -21,7 +21,7 @@
 
 const NODES: usize = 3;
 const WORKERS: usize = 4;
-/// How long the simulation runs after all faults are cleared before its final state is checked.
+/// The time between clearing all faults and checking the final state, in milliseconds.
 const RECOVERY_MS: u64 = 120_000;
 
 /// A fault that occurs or is cleared.
@@ -67,7 +67,8 @@
     ]
 }
 
-/// Generates the seed of a simulation and its faults, each with the delay after the previous one, in milliseconds.
+/// Generates the seed of a simulation and its faults, each with the delay after the previous
+/// one in milliseconds.
 fn session() -> impl Strategy<Value = (u64, Vec<(u64, Fault)>)> {
     (any::<u32>().prop_map(u64::from), vec((1u64..6_000, fault()), 1..25))
 }
--- a/crates/kitetrail-standins/tests/system/mod.rs
+++ b/crates/kitetrail-standins/tests/system/mod.rs
@@ -22,7 +22,7 @@
 };
 use serde_json::Value;
 
-/// How long a test waits for any condition, far longer than any of them should take.
+/// The time that a test waits for a condition, far longer than any condition should take.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub struct TestCluster {
@@ -36,7 +36,8 @@
 }
 
 impl TestCluster {
-    /// Creates a cluster without starting it. `test_id` must differ between the tests of one process.
+    /// Creates a cluster without starting it. `test_id` must differ between the tests of one
+    /// process.
     pub fn new(test_id: u8, workers: usize, boxes: usize) -> Self {
         let network_prefix = format!("127.{}.{test_id}", 10 + std::process::id() % 200);
         let dir = std::env::temp_dir().join(format!("kitetrail-{}-{test_id}", std::process::id()));
@@ -137,7 +138,7 @@
         self.processes[name].id()
     }
 
-    /// Kills a process with SIGKILL and records the kill in the journal of a worker.
+    /// Kills a process with SIGKILL. The kill of a worker is recorded in its journal.
     pub fn kill(&mut self, name: &str) {
         let mut child = self.processes.remove(name).unwrap();
         child.kill().unwrap();
--- a/crates/kitetrail-standins/tests/world/mod.rs
+++ b/crates/kitetrail-standins/tests/world/mod.rs
@@ -30,9 +30,9 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// How long a box waits for the answer to a request.
+/// The time that a box waits for the answer to a request, in milliseconds.
 const TIMEOUT_MS: u64 = 1_000;
-/// The interval between ticks of all boxes and workers.
+/// The interval between ticks of all boxes and workers, in milliseconds.
 const TICK_MS: u64 = 50;
 
 /// The conditions of the network, and whether the table is down.
@@ -125,7 +125,8 @@
     pub now_ms: u64,
     pub network: NetworkConditions,
     pub log: String,
-    /// Whether boxes receive new ranks when other boxes pause or stop, as membership would send them.
+    /// Whether boxes receive new ranks when other boxes pause or stop, as membership would send
+    /// them.
     pub update_ranks: bool,
     settings: ShardSettings,
     shard: ShardId,
--- a/crates/kitetrail-standins/tests/world/views.rs
+++ b/crates/kitetrail-standins/tests/world/views.rs
@@ -10,7 +10,7 @@
 use super::Simulation;
 
 impl<P: Placer + Clone> Simulation<P> {
-    /// Returns how often each task of a spec that completed did so, as seen by workers.
+    /// Returns the number of completions on workers of each task of a spec that has completed.
     pub fn completions(&self, spec: &str) -> Vec<u32> {
         let tasks_of_spec =
             self.completion_counts.iter().filter(|(task, _)| task.spec.as_str() == spec);
@@ -49,7 +49,8 @@
         attempts
     }
 
-    /// Returns the current slowdown of a service on each worker that serves it, where 1 is undisturbed.
+    /// Returns the current slowdown of a service on each worker that serves it. The slowdown of
+    /// an undisturbed service is 1.
     pub fn slowdowns(&self, service: &SpecName) -> Vec<f64> {
         let serving = self.workers.iter().filter(|worker| worker.model.serves(service));
         serving.map(|worker| worker.model.slowdown_of(service)).collect()
