--- a/crates/kitetrail-standins/examples/compare_placement.rs
+++ b/crates/kitetrail-standins/examples/compare_placement.rs
@@ -95,14 +95,14 @@
         let size = Resources::new(4_000, 4_096, 0);
         sim.submit(Spec { size, ..spec(name, Kind::Service, 6, 0) });
     }
-    sim.run_ms(3_000);
+    sim.run_for_ms(3_000);
     let mut latency_us = Histogram::<u64>::new(3).unwrap();
     for number in 0..WAVE_COUNT {
         for spec in batch_wave(number) {
             sim.submit(spec);
         }
         for _ in 0..WAVE_MS / 100 {
-            sim.run_ms(100);
+            sim.run_for_ms(100);
             record_latency(&sim, &mut latency_us);
         }
     }
--- a/crates/kitetrail-standins/examples/table_writes.rs
+++ b/crates/kitetrail-standins/examples/table_writes.rs
@@ -33,7 +33,7 @@
         let placer = InterferenceAware::default();
         let mut sim =
             Simulation::with_placer(3, 1, WORKERS, ShardSettings::default(), placer, workers);
-        sim.run_ms(3_000);
+        sim.run_for_ms(3_000);
         let (commits, rows, start_count) = (sim.commits(), sim.rows_written(), sim.start_count());
         let mut submitted = 0;
         for second in 0..SECONDS {
@@ -45,7 +45,7 @@
                 let size = Resources::new(500, 512, 0);
                 sim.submit(Spec { size, ..spec(&name, Kind::Job, tasks, 5_000) });
             }
-            sim.run_ms(1_000);
+            sim.run_for_ms(1_000);
         }
         let shard_commits = sim.commits() - commits - sim.submissions();
         let per_s = shard_commits as f64 / SECONDS as f64;
--- a/crates/kitetrail-standins/tests/placement_failures.rs
+++ b/crates/kitetrail-standins/tests/placement_failures.rs
@@ -20,10 +20,10 @@
 
 /// The time for which an owner without the table renews leases, short enough to elapse within
 /// a test.
-const DETACHED: Duration = Duration::from_secs(15);
+const DETACHED_RENEWAL: Duration = Duration::from_secs(15);
 
 fn simulation(nodes: usize, workers: usize) -> Simulation {
-    let settings = ShardSettings::builder().detached_renewal(DETACHED).build();
+    let settings = ShardSettings::builder().detached_renewal(DETACHED_RENEWAL).build();
     Simulation::new(7, nodes, workers, settings)
 }
 
@@ -35,21 +35,21 @@
 /// that can't reach the worker must wait until the previous owner can no longer renew them.
 #[test]
 fn a_new_owner_waits_until_the_previous_owner_can_no_longer_renew() {
-    let long_renewal = ShardSettings::builder().detached_renewal(DETACHED * 3).build();
+    let long_renewal = ShardSettings::builder().detached_renewal(DETACHED_RENEWAL * 3).build();
     let mut sim = Simulation::new(7, 2, 2, long_renewal);
     sim.submit(spec("notices", Kind::Watcher, 1, 0));
-    sim.run_ms(2_000);
+    sim.run_for_ms(2_000);
     let (worker, _) = sim.running_attempts("notices:0")[0];
     sim.disconnect_worker(1, 0);
     sim.disconnect_worker(1, 1);
     sim.set_table_disconnected(0, true);
-    sim.run_ms(13_000);
+    sim.run_for_ms(13_000);
     assert!(sim.log.contains("box-1 took over"), "{}", sim.log);
     assert_eq!(sim.running_attempts("notices:0"), [(worker, Attempt(1))], "{}", sim.log);
     sim.reconnect_workers(1);
     sim.disconnect_worker(1, worker);
     sim.disconnect_worker(0, 1 - worker);
-    sim.run_ms(60_000);
+    sim.run_for_ms(60_000);
     let attempts = sim.running_attempts("notices:0");
     assert_eq!(
         attempts,
@@ -64,15 +64,15 @@
 fn running_tasks_complete_once_during_a_table_outage() {
     let mut sim = simulation(2, 2);
     sim.submit(spec("packs", Kind::Job, 4, 12_000));
-    sim.run_ms(2_000);
+    sim.run_for_ms(2_000);
     let start_count = sim.start_count();
     sim.network.table_down = true;
-    sim.run_ms(12_000);
+    sim.run_for_ms(12_000);
     assert_eq!(sim.completions("packs"), [1, 1, 1, 1], "{}", sim.log);
     sim.network.table_down = false;
-    sim.run_ms(5_000);
+    sim.run_for_ms(5_000);
     assert_eq!(sim.start_count(), start_count, "no task may start again\n{}", sim.log);
-    assert!(sim.rows().iter().all(|row| row.stage == Stage::Ended(Ending::Done)));
+    assert!(sim.task_rows().iter().all(|row| row.stage == Stage::Ended(Ending::Done)));
 }
 
 /// P2: the owner is killed after it commits a placement and before it sends the start order.
@@ -80,11 +80,11 @@
 fn tasks_complete_once_if_the_owner_is_killed_between_commit_and_start() {
     let mut sim = simulation(2, 2);
     sim.submit(spec("packs", Kind::Job, 2, 2_000));
-    while sim.rows().iter().all(|row| row.worker().is_none()) {
-        sim.run_ms(1);
+    while sim.task_rows().iter().all(|row| row.worker().is_none()) {
+        sim.run_for_ms(1);
     }
     sim.kill_box(0);
-    sim.run_ms(15_000);
+    sim.run_for_ms(15_000);
     assert_eq!(sim.completions("packs"), [1, 1], "{}", sim.log);
 }
 
@@ -93,11 +93,11 @@
 fn an_owner_paused_beyond_its_lease_steps_down() {
     let mut sim = simulation(2, 2);
     sim.submit(spec("packs", Kind::Job, 6, 4_000));
-    sim.run_ms(260);
+    sim.run_for_ms(260);
     sim.pause_box(0);
-    sim.run_ms(8_000);
+    sim.run_for_ms(8_000);
     sim.resume_box(0);
-    sim.run_ms(30_000);
+    sim.run_for_ms(30_000);
     assert!(sim.log.contains("box-1 took over"), "{}", sim.log);
     assert!(sim.log.contains("box-0 stepped down"), "{}", sim.log);
     assert_eq!(sim.completions("packs"), [1; 6], "{}", sim.log);
@@ -111,10 +111,10 @@
     sim.network = NetworkConditions { max_delay_ms: 25_000, ..NetworkConditions::reliable() };
     sim.submit(spec("packs", Kind::Job, 4, 3_000));
     sim.submit(spec("notices", Kind::Watcher, 2, 0));
-    sim.run_ms(120_000);
+    sim.run_for_ms(120_000);
     sim.network = NetworkConditions::reliable();
-    sim.run_ms(60_000);
-    assert!(sim.rows().iter().all(|row| row.stage != Stage::Queued), "{}", sim.log);
+    sim.run_for_ms(60_000);
+    assert!(sim.task_rows().iter().all(|row| row.stage != Stage::Queued), "{}", sim.log);
 }
 
 /// P2: renewals reach the worker but the replies are lost, and later the renewals are lost
@@ -125,12 +125,12 @@
     for replies_lost_ms in (1_000..12_000).step_by(500) {
         let mut sim = simulation(1, 3);
         sim.submit(spec("notices", Kind::Watcher, 1, 0));
-        sim.run_ms(2_000);
+        sim.run_for_ms(2_000);
         let (worker, _) = sim.running_attempts("notices:0")[0];
         sim.drop_replies(0, worker);
-        sim.run_ms(replies_lost_ms);
+        sim.run_for_ms(replies_lost_ms);
         sim.disconnect_worker(0, worker);
-        sim.run_ms(20_000);
+        sim.run_for_ms(20_000);
         assert!(sim.log.contains("lease lapsed"), "{}", sim.log);
         assert_eq!(sim.running_attempts("notices:0").len(), 1, "{}", sim.log);
     }
@@ -142,13 +142,13 @@
     for seed in 0..40 {
         let mut sim = Simulation::new(seed, 1, 3, ShardSettings::default());
         sim.submit(spec("notices", Kind::Watcher, 4, 0));
-        sim.run_ms(2_000);
+        sim.run_for_ms(2_000);
         sim.network = NetworkConditions {
             max_delay_ms: 900,
             loss_percent: 75,
             ..NetworkConditions::reliable()
         };
-        sim.run_ms(120_000);
+        sim.run_for_ms(120_000);
         assert!(sim.log.contains("lease lapsed"), "{}", sim.log);
     }
 }
@@ -158,10 +158,10 @@
 fn an_evicted_task_resumes_once_from_its_checkpoint() {
     let mut sim = simulation(1, 2);
     sim.submit(spec("packs", Kind::Job, 1, 8_000));
-    sim.run_ms(4_000);
+    sim.run_for_ms(4_000);
     let (worker, _) = sim.running_attempts("packs:0")[0];
     sim.set_worker_state(worker, Liveness::Leaving);
-    sim.run_ms(20_000);
+    sim.run_for_ms(20_000);
     assert_eq!(sim.completions("packs"), [1], "{}", sim.log);
     assert_eq!(sim.start_count(), 2, "{}", sim.log);
     let resumed = sim.log.lines().find(|line| line.contains("starts packs:0 attempt 2"));
@@ -176,12 +176,12 @@
     for killed_after_ms in (0..3_000).step_by(50) {
         let mut sim = simulation(2, 2);
         sim.submit(spec("packs", Kind::Job, 1, 8_000));
-        sim.run_ms(4_000);
+        sim.run_for_ms(4_000);
         let (worker, _) = sim.running_attempts("packs:0")[0];
         sim.set_worker_state(worker, Liveness::Leaving);
-        sim.run_ms(killed_after_ms);
+        sim.run_for_ms(killed_after_ms);
         sim.kill_box(0);
-        sim.run_ms(30_000);
+        sim.run_for_ms(30_000);
         assert_eq!(sim.completions("packs"), [1], "{killed_after_ms}\n{}", sim.log);
         assert_eq!(sim.start_count(), 2, "{killed_after_ms}\n{}", sim.log);
     }
@@ -193,14 +193,14 @@
     for cancelled_after_ms in (0..2_000).step_by(50) {
         let mut sim = simulation(1, 2);
         sim.submit(spec("packs", Kind::Job, 1, 60_000));
-        sim.run_ms(4_000);
+        sim.run_for_ms(4_000);
         let (worker, _) = sim.running_attempts("packs:0")[0];
         sim.set_worker_state(worker, Liveness::Leaving);
-        sim.run_ms(cancelled_after_ms);
+        sim.run_for_ms(cancelled_after_ms);
         sim.cancel(&"packs".parse().unwrap());
-        sim.run_ms(10_000);
+        sim.run_for_ms(10_000);
         assert!(sim.running_attempts("packs:0").is_empty(), "{}", sim.log);
-        let is_cancelled = sim.rows()[0].stage == Stage::Ended(Ending::Cancelled);
+        let is_cancelled = sim.task_rows()[0].stage == Stage::Ended(Ending::Cancelled);
         assert!(is_cancelled, "{cancelled_after_ms}\n{}", sim.log);
     }
 }
@@ -216,7 +216,7 @@
     sim.submit(job_of_size("odd", 9, 1_700, 0));
     sim.submit(job_of_size("tiny", 30, 130, 0));
     sim.submit(job_of_size("tensor", 7, 300, 1));
-    sim.run_ms(60_000);
+    sim.run_for_ms(60_000);
     assert_eq!(sim.completions("odd"), [1; 9], "{}", sim.log);
     assert_eq!(sim.completions("tiny"), [1; 30], "{}", sim.log);
     assert_eq!(sim.completions("tensor"), [1; 7], "{}", sim.log);
@@ -231,8 +231,8 @@
         sim.submit(spec(&format!("packs-{number}"), Kind::Job, 2, 1_000));
     }
     sim.submit(spec("fail-always", Kind::Job, 1, 1_000));
-    sim.run_ms(60_000);
-    for row in sim.rows() {
+    sim.run_for_ms(60_000);
+    for row in sim.task_rows() {
         let expected = match row.spec.name.as_str() {
             "fail-always" => Ending::Failed,
             _ => Ending::Done,
@@ -248,10 +248,10 @@
 fn an_urgent_task_starts_within_3300_ms_on_a_full_worker() {
     let mut sim = simulation(1, 1);
     sim.submit(spec("packs", Kind::Job, 4, 60_000));
-    sim.run_ms(3_000);
+    sim.run_for_ms(3_000);
     let urgent = Spec { priority: 250, ..spec("urgent", Kind::Job, 1, 1_000) };
     sim.submit(urgent);
-    sim.run_ms(3_300);
+    sim.run_for_ms(3_300);
     let started =
         sim.log.contains("starts urgent:0") || !sim.running_attempts("urgent:0").is_empty();
     assert!(started, "{}", sim.log);
@@ -266,7 +266,7 @@
         ..with_size(spec("too-large", Kind::Job, 600, 1_000), Resources::new(9_000, 1_024, 0))
     });
     sim.submit(spec("packs", Kind::Job, 4, 1_000));
-    sim.run_ms(5_000);
+    sim.run_for_ms(5_000);
     assert_eq!(sim.completions("packs"), [1; 4], "{}", sim.log);
 }
 
@@ -277,15 +277,15 @@
     let mut sim = simulation(2, 2);
     sim.set_unix_time(10 * day_ms);
     sim.submit(spec("packs", Kind::Job, 4, 1_000));
-    sim.run_ms(4_000);
+    sim.run_for_ms(4_000);
     sim.kill_box(0);
-    sim.run_ms(6_000);
+    sim.run_for_ms(6_000);
     sim.set_unix_time(11 * day_ms - 1);
-    sim.run_ms(2_000);
-    assert_eq!(sim.rows().len(), 4);
+    sim.run_for_ms(2_000);
+    assert_eq!(sim.task_rows().len(), 4);
     sim.set_unix_time(11 * day_ms + 1);
-    sim.run_ms(2_000);
-    assert_eq!(sim.rows().len(), 0, "{}", sim.log);
+    sim.run_for_ms(2_000);
+    assert_eq!(sim.task_rows().len(), 0, "{}", sim.log);
 }
 
 /// The running batch tasks of a team stay within its quota, and all of them complete.
@@ -298,7 +298,7 @@
     let mut sim = Simulation::with_placer(7, 1, 3, ShardSettings::default(), placer, workers);
     sim.submit(spec("packs", Kind::Job, 12, 1_000));
     for _ in 0..100 {
-        sim.run_ms(100);
+        sim.run_for_ms(100);
         let running = (0..12).filter(|n| !sim.running_attempts(&format!("packs:{n}")).is_empty());
         assert!(running.count() <= 3, "{}", sim.log);
     }
@@ -312,13 +312,13 @@
     for number in 0..40 {
         sim.submit(spec(&format!("packs-{number}"), Kind::Job, 10, 60_000));
     }
-    sim.run_ms(3_000);
+    sim.run_for_ms(3_000);
     let commits_before = sim.commits();
     for number in 0..40 {
         sim.cancel(&format!("packs-{number}").parse().unwrap());
     }
-    sim.run_ms(5_000);
-    let ended = sim.rows().iter().filter(|row| row.is_ended()).count();
+    sim.run_for_ms(5_000);
+    let ended = sim.task_rows().iter().filter(|row| row.is_ended()).count();
     assert_eq!(ended, 400);
     let own_commits = sim.commits() - commits_before - 40;
     assert!(own_commits <= 20, "{own_commits} transactions for 400 cancelled tasks");
@@ -334,9 +334,9 @@
     sim.submit(spec("packs", Kind::Job, 6, 3_000));
     let mut crashes = 0;
     for step in 0..12_000 {
-        sim.run_ms(10);
+        sim.run_for_ms(10);
         if let Some(&(worker, _)) = sim.running_attempts("bad:0").first() {
-            sim.run_ms(50);
+            sim.run_for_ms(50);
             sim.restart_worker(worker);
             crashes += 1;
         }
@@ -345,7 +345,7 @@
         }
     }
     assert!(crashes <= 5, "{crashes} workers crashed\n{}", sim.log);
-    let rows = sim.rows();
+    let rows = sim.task_rows();
     let rows_of =
         |name: &str| rows.iter().filter(|row| row.id.spec.as_str() == name).collect::<Vec<_>>();
     let (bad, packs) = (rows_of("bad"), rows_of("packs"));
@@ -359,9 +359,13 @@
     let mut sim = simulation(1, 4);
     sim.submit(spec("packs", Kind::Job, 8, 20_000));
     for round in 0..40 {
-        sim.run_ms(2_300);
+        sim.run_for_ms(2_300);
         sim.restart_worker(round % 4);
     }
-    sim.run_ms(120_000);
-    assert!(sim.rows().iter().all(|row| row.stage == Stage::Ended(Ending::Done)), "{}", sim.log);
+    sim.run_for_ms(120_000);
+    assert!(
+        sim.task_rows().iter().all(|row| row.stage == Stage::Ended(Ending::Done)),
+        "{}",
+        sim.log
+    );
 }
--- a/crates/kitetrail-standins/tests/placement_properties.rs
+++ b/crates/kitetrail-standins/tests/placement_properties.rs
@@ -125,7 +125,7 @@
 
 /// Checks that every job has ended as expected, that services run, and that the watcher runs once.
 fn check_final_state(sim: &mut Simulation) {
-    for row in sim.rows() {
+    for row in sim.task_rows() {
         let is_expected = match (row.spec.kind, &row.stage) {
             (Kind::Job, Stage::Ended(Ending::Done)) => true,
             (Kind::Job, Stage::Ended(Ending::Cancelled)) => row.spec.name.as_str() == "cancelled",
@@ -149,11 +149,11 @@
     sim.submit(spec("packs", Kind::Job, 8, 7_000));
     sim.submit(spec("cancelled", Kind::Job, 2, 15_000));
     for (after_ms, fault) in faults {
-        sim.run_ms(*after_ms);
+        sim.run_for_ms(*after_ms);
         inject_fault(&mut sim, fault);
     }
     clear_faults(&mut sim);
-    sim.run_ms(RECOVERY_MS);
+    sim.run_for_ms(RECOVERY_MS);
     check_final_state(&mut sim);
 }
 
--- a/crates/kitetrail-standins/tests/system_requests.rs
+++ b/crates/kitetrail-standins/tests/system_requests.rs
@@ -13,7 +13,7 @@
 use serde_json::json;
 use system::TestCluster;
 
-fn count(entries: &[CallerEntry], outcome: &str) -> usize {
+fn count_outcome(entries: &[CallerEntry], outcome: &str) -> usize {
     entries.iter().filter(|entry| entry.outcome == outcome).count()
 }
 
@@ -38,9 +38,12 @@
     let long = ["--answer-bytes", "200000"];
     cluster.start_callers("long", &[&load[..], &long].concat());
     let long_answers = cluster.wait_for_callers("long");
-    assert!(count(&answers, "unknown") > 0, "some calls must have an unknown outcome");
-    assert!(count(&answers, "done") > 300, "most calls must be answered");
-    assert!(count(&long_answers, "none") > 0, "a truncated long answer must not look complete");
+    assert!(count_outcome(&answers, "unknown") > 0, "some calls must have an unknown outcome");
+    assert!(count_outcome(&answers, "done") > 300, "most calls must be answered");
+    assert!(
+        count_outcome(&long_answers, "none") > 0,
+        "a truncated long answer must not look complete"
+    );
     cluster.check_journals(&["short", "long"], &[]);
 }
 
@@ -74,7 +77,7 @@
     std::thread::sleep(std::time::Duration::from_secs(2));
     cluster.kill("entry-2");
     let answers = cluster.wait_for_callers("holds");
-    assert!(count(&answers, "done") > 150);
+    assert!(count_outcome(&answers, "done") > 150);
     cluster.check_journals(&["holds"], &[]);
 }
 
@@ -107,8 +110,8 @@
     std::thread::sleep(std::time::Duration::from_secs(1));
     cluster.set_table_faults(json!({}));
     let answers = cluster.wait_for_callers("bids");
-    assert!(count(&answers, "not-run") > 0, "some calls must be refused during the outage");
-    assert!(count(&answers, "done") > 100);
+    assert!(count_outcome(&answers, "not-run") > 0, "some calls must be refused during the outage");
+    assert!(count_outcome(&answers, "done") > 100);
     cluster.check_journals(&["bids"], &[]);
 }
 
@@ -221,7 +224,7 @@
         entry.at_ms > quiet_from_ms && matches!(entry.event, WorkerEvent::Execute { .. })
     });
     assert_eq!(after.count(), 0, "P7: a leaving endpoint got new requests");
-    assert_eq!(count(&answers, "done"), 900, "every call must complete");
+    assert_eq!(count_outcome(&answers, "done"), 900, "every call must complete");
     cluster.check_journals(&["calls"], &[]);
 }
 
@@ -253,7 +256,7 @@
     });
     assert!(cluster.stop_gracefully("entry-1"), "the box must stop gracefully");
     let answers = cluster.wait_for_callers("long");
-    assert_eq!(count(&answers, "done"), 20, "P8: {answers:?}");
+    assert_eq!(count_outcome(&answers, "done"), 20, "P8: {answers:?}");
     cluster.check_journals(&["long"], &[]);
 }
 
@@ -285,6 +288,6 @@
     assert!(not_run.len() > 3_000, "the load must exceed the capacity");
     let without_retry_after = not_run.iter().filter(|entry| entry.retry_after_ms.is_none()).count();
     assert_eq!(without_retry_after, 0, "P10: rejected calls without Retry-After");
-    assert_eq!(count(&answers, "none"), 0, "every call must get an answer");
+    assert_eq!(count_outcome(&answers, "none"), 0, "every call must get an answer");
     cluster.check_journals(&["flood"], &[]);
 }
--- a/crates/kitetrail-standins/tests/world/mod.rs
+++ b/crates/kitetrail-standins/tests/world/mod.rs
@@ -252,7 +252,7 @@
     }
 
     /// Advances the time by `ms` milliseconds and checks the promises after every event.
-    pub fn run_ms(&mut self, ms: u64) {
+    pub fn run_for_ms(&mut self, ms: u64) {
         let until_ms = self.now_ms + ms;
         while self.queue.peek().is_some_and(|scheduled| scheduled.at_ms <= until_ms) {
             let Some(scheduled) = self.queue.pop() else { break };
@@ -446,7 +446,7 @@
                     (row.version, row.op, lease)
                 }))
             }
-            Action::Load => Event::Loaded(self.rows()),
+            Action::Load => Event::Loaded(self.task_rows()),
             Action::ReadInbox => {
                 let rows = self.table.scan(Prefix::inbox(&self.shard).as_str());
                 let items = rows.into_iter().map(|row| {
--- a/crates/kitetrail-standins/tests/world/views.rs
+++ b/crates/kitetrail-standins/tests/world/views.rs
@@ -20,13 +20,13 @@
     /// Returns the total work of all tasks that completed, in milliseconds.
     pub fn completed_work_ms(&mut self) -> u64 {
         let completion_counts = self.completion_counts.clone();
-        let rows = self.rows();
+        let rows = self.task_rows();
         let done = rows.iter().filter(|row| completion_counts.contains_key(&row.id));
         done.map(|row| row.spec.expected_run_ms).sum()
     }
 
     /// Returns the rows of all tasks in the table.
-    pub fn rows(&mut self) -> Vec<TaskRow> {
+    pub fn task_rows(&mut self) -> Vec<TaskRow> {
         let rows = self.table.scan(Prefix::tasks(&self.shard).as_str());
         let rows = rows.into_iter().map(|row| serde_json::from_value(row.record).unwrap());
         rows.filter_map(|record| match record {
