--- a/crates/kitetrail-core/src/jobs/instance.rs
+++ b/crates/kitetrail-core/src/jobs/instance.rs
@@ -14,7 +14,8 @@
     report::Report,
     run::{Phase, PlacedRun},
     scheduler::{
-        CLOCK_SLOW_PERCENT, crashed::Suspect, free_capacity::FreeCapacity, tails::ImageNo,
+        MAX_CLOCK_SLOWDOWN_PERCENT, crash_attribution::CrashSuspect, free_capacity::FreeCapacity,
+        tails::ImageNo,
     },
     worker_entry::WorkerEntry,
 };
@@ -143,7 +144,7 @@
         let elapsed_ms = other.clock_ms as i64 - self.clock_ms as i64;
         let min_ms = ms(other.sent_at) - ms(self.received_at);
         let max_ms = ms(other.received_at) - ms(self.sent_at);
-        let tolerance_ms = max_ms * i64::from(CLOCK_SLOW_PERCENT) / 100 + CLOCK_ROUNDING_MS;
+        let tolerance_ms = max_ms * i64::from(MAX_CLOCK_SLOWDOWN_PERCENT) / 100 + CLOCK_ROUNDING_MS;
         (min_ms - tolerance_ms..=max_ms + tolerance_ms).contains(&elapsed_ms)
     }
 }
@@ -196,7 +197,7 @@
     /// Whether its machine crashed recently.
     pub(super) crashed_recently: bool,
     /// The runs that may have crashed it and that the scheduler has since abandoned.
-    pub(super) suspects: Vec<Suspect>,
+    pub(super) suspects: Vec<CrashSuspect>,
     /// The tasks that the previous owner was about to start here with a stored start, since they
     /// may crash their worker.
     pub(super) inherited_starts: Vec<TaskName>,
--- a/crates/kitetrail-core/src/jobs/log_entry.rs
+++ b/crates/kitetrail-core/src/jobs/log_entry.rs
@@ -169,7 +169,7 @@
     /// New jobs are refused because the owner lacks processor time, or are accepted again.
     Overload {
         /// Whether new jobs are accepted.
-        takes_jobs: bool,
+        accepts_jobs: bool,
         /// The owner's lag, in milliseconds.
         lag_ms: u64,
     },
--- a/crates/kitetrail-core/src/jobs/scheduler/backlog.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/backlog.rs
@@ -41,12 +41,12 @@
 
 /// The tasks started since the last report.
 #[derive(Debug, Default)]
-pub(super) struct Started {
+pub(super) struct StartedTasks {
     tasks: [TaskCounts; WorkKind::ALL.len()],
     reported_at: Time,
 }
 
-impl Started {
+impl StartedTasks {
     pub(super) fn record(&mut self, kind: WorkKind, in_time: bool) {
         self.tasks[kind as usize].add(1, in_time);
     }
@@ -55,20 +55,20 @@
 impl Scheduler {
     /// Reports the waiting and the started tasks if a report is due.
     pub(super) fn tell_backlog_if_due(&mut self) {
-        if self.now.since(self.started.reported_at) < REPORT_INTERVAL {
+        if self.now.since(self.start_counts.reported_at) < REPORT_INTERVAL {
             return;
         }
         self.report_unpersisted();
         let waiting = self.waiting_by_kind();
-        let started = mem::take(&mut self.started.tasks);
-        self.started.reported_at = self.now;
+        let started = mem::take(&mut self.start_counts.tasks);
+        self.start_counts.reported_at = self.now;
         let lag_ms = self.overload.lag().as_millis() as u64;
         for kind in WorkKind::ALL {
             let (waiting, started) = (waiting[kind as usize], started[kind as usize]);
             if waiting.tasks == TaskCounts::default() && started == TaskCounts::default() {
                 continue;
             }
-            self.out.push(Action::Log(LogEntry::Backlog {
+            self.actions.push(Action::Log(LogEntry::Backlog {
                 kind,
                 waiting_in_time: waiting.tasks.in_time,
                 waiting_late: waiting.tasks.late,
@@ -85,7 +85,7 @@
         if self.pending.is_empty() && self.pending.unpersisted_ends() == 0 {
             return;
         }
-        self.out.push(Action::Log(LogEntry::Unpersisted {
+        self.actions.push(Action::Log(LogEntry::Unpersisted {
             records: self.pending.len() as u64,
             ends: self.pending.unpersisted_ends() as u64,
             batch_sent_ago_ms: self.pending.sent_ago(self.now).map(|ago| ago.as_millis() as u64),
@@ -94,7 +94,7 @@
 
     fn waiting_by_kind(&self) -> [Waiting; WorkKind::ALL.len()] {
         let mut waiting = [Waiting::default(); WorkKind::ALL.len()];
-        let jobs = self.open.iter().filter_map(|(_, _, id)| self.jobs.get(id));
+        let jobs = self.open_jobs.iter().filter_map(|(_, _, id)| self.jobs.get(id));
         for job in jobs.filter(|job| job.may_have_waiting_tasks) {
             let (in_time, age) = (job.can_be_in_time(self.now), self.now.since(job.accepted_at));
             for (spec, tasks) in unplaced_steps(job) {
--- a/crates/kitetrail-core/src/jobs/scheduler/commit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/commit.rs
@@ -77,7 +77,7 @@
         job.is_persisted = true;
         let waiters = mem::take(&mut job.submit_waiters);
         let answer = |request| Action::AnswerSubmit(request, SubmitAnswer::Accepted);
-        self.out.extend(waiters.into_iter().map(answer));
+        self.actions.extend(waiters.into_iter().map(answer));
     }
 
     /// Drops a job whose end is persisted; only its outcome is needed from now on.
@@ -86,9 +86,9 @@
         // The job was submitted and cancelled, and its end was persisted before its submission was.
         let submitted = mem::take(&mut job.submit_waiters).into_iter();
         let accepted = |request| Action::AnswerSubmit(request, SubmitAnswer::Accepted);
-        self.out.extend(submitted.map(accepted));
+        self.actions.extend(submitted.map(accepted));
         let answer = |request| Action::AnswerCancel(request, CancelAnswer::Done);
-        self.out.extend(job.cancel_waiters.into_iter().map(answer));
+        self.actions.extend(job.cancel_waiters.into_iter().map(answer));
         self.record_ended_job(id, job.outcome, job.ended_unix_ms);
     }
 
@@ -105,12 +105,12 @@
         let job = |id: &JobId| self.jobs.get(id);
         let outcomes = taken.progress.iter().filter_map(job);
         let outcomes = outcomes.map(|job| (job.id, job.outcome)).collect();
-        let starts = self.kept_starts.take(&taken.progress);
+        let starts = self.deferred_starts.take(&taken.progress);
         let (new_jobs, instances) = (taken.new_jobs, taken.instances);
         let batch = |number| Batch { number, new_jobs, outcomes, instances, starts };
         let batch = self.pending.note_sent(batch, self.now);
         self.pending.urgent = !taken.complete;
-        self.out.push(Action::Commit { batch, records });
+        self.actions.push(Action::Commit { batch, records });
     }
 
     /// Returns the store records of a batch.
--- a/crates/kitetrail-core/src/jobs/scheduler/crashed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/crash_attribution.rs
@@ -44,14 +44,14 @@
 
 /// A run that may have crashed its worker.
 #[derive(Debug, Clone)]
-pub(in crate::jobs) struct Suspect {
+pub(in crate::jobs) struct CrashSuspect {
     task: TaskName,
     evidence: CrashEvidence,
     /// The duration of the run; unknown if an earlier owner started it.
     ran: Option<RunTimeBounds>,
 }
 
-impl Suspect {
+impl CrashSuspect {
     /// Creates a suspect for a task that an earlier owner recorded as about to start on the worker.
     pub(super) fn from_recorded_start(task: TaskName) -> Self {
         Self { task, evidence: CrashEvidence::Immediate, ran: None }
@@ -71,13 +71,18 @@
 impl Scheduler {
     /// Returns the runs that may have crashed a worker whose instance ended; empty if it did not
     /// crash.
-    pub(super) fn crash_suspects(&self, instance_no: InstanceNo, end: InstanceEnd) -> Vec<Suspect> {
+    pub(super) fn crash_suspects(
+        &self,
+        instance_no: InstanceNo,
+        end: InstanceEnd,
+    ) -> Vec<CrashSuspect> {
         let Some(instance) =
             self.instances.get(instance_no).filter(|instance| !instance.entry.draining)
         else {
             return Vec::new();
         };
-        let recorded = instance.inherited_starts.iter().copied().map(Suspect::from_recorded_start);
+        let recorded =
+            instance.inherited_starts.iter().copied().map(CrashSuspect::from_recorded_start);
         let mut suspects = recorded.chain(instance.suspects.iter().cloned()).collect::<Vec<_>>();
         suspects.extend(suspects_among(instance, self.now));
         let with_others = self.lost_with_others(instance);
@@ -105,10 +110,11 @@
     pub(super) fn drop_runs_of_silent_worker(&mut self, instance_no: InstanceNo) {
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
         let worker = instance.entry.key();
-        let recorded =
-            mem::take(&mut instance.inherited_starts).into_iter().map(Suspect::from_recorded_start);
+        let recorded = mem::take(&mut instance.inherited_starts)
+            .into_iter()
+            .map(CrashSuspect::from_recorded_start);
         let suspects = recorded.chain(suspects_among(instance, self.now)).collect::<Vec<_>>();
-        let is_watched = |suspect: &Suspect| {
+        let is_watched = |suspect: &CrashSuspect| {
             let job = self.jobs.get(&suspect.task.job);
             job.and_then(|job| job.task(suspect.task)).is_some_and(|task| task.persists_starts)
         };
@@ -122,13 +128,13 @@
 
     /// Counts a crash against the tasks that may have caused it. Must be called after the runs of
     /// that instance were dropped.
-    pub(super) fn record_crash(&mut self, worker: &InstanceKey, suspects: Vec<Suspect>) {
+    pub(super) fn record_crash(&mut self, worker: &InstanceKey, suspects: Vec<CrashSuspect>) {
         for suspect in suspects {
             self.count_crash(worker, &suspect);
         }
     }
 
-    fn count_crash(&mut self, worker: &InstanceKey, suspect: &Suspect) {
+    fn count_crash(&mut self, worker: &InstanceKey, suspect: &CrashSuspect) {
         let now = self.now;
         let name = suspect.task;
         let Some(job) = self.jobs.get_mut(&name.job).filter(|job| job.is_open()) else { return };
@@ -143,7 +149,7 @@
         if task.crashes.drops_checkpoint() {
             job.drop_checkpoint(name);
         }
-        self.out.push(Action::Log(LogEntry::CrashCounted {
+        self.actions.push(Action::Log(LogEntry::CrashCounted {
             task: name,
             worker: worker.id.clone(),
             evidence: suspect.evidence,
@@ -159,7 +165,7 @@
     fn fail_crashing_job(&mut self, name: TaskName) {
         let task = self.task_mut(name);
         let workers = task.map(|task| task.crashes.workers.clone()).unwrap_or_default();
-        self.out.push(Action::Log(LogEntry::CrashingTaskFailed { task: name, workers }));
+        self.actions.push(Action::Log(LogEntry::CrashingTaskFailed { task: name, workers }));
         self.end_job(name.job, Outcome::Failed);
     }
 
@@ -188,7 +194,7 @@
             return false;
         }
         task.crashes.clear();
-        self.out.push(Action::Log(LogEntry::SuspicionCleared { task: name }));
+        self.actions.push(Action::Log(LogEntry::SuspicionCleared { task: name }));
         self.pending.note(name.job);
         true
     }
@@ -229,7 +235,7 @@
 }
 
 /// Returns the runs that may have made a worker fall silent: recently started ones, or else all.
-pub(super) fn suspects_among(instance: &WorkerInstance, now: Time) -> Vec<Suspect> {
+pub(super) fn suspects_among(instance: &WorkerInstance, now: Time) -> Vec<CrashSuspect> {
     let ordered = instance.runs().iter().filter(|&(&task, run)| instance.was_sent(task, run));
     let ordered = ordered.collect::<Vec<_>>();
     let any_started = ordered.iter().any(|(_, run)| is_recently_started(instance, run));
@@ -245,7 +251,7 @@
             }
             true => CrashEvidence::JustStarted,
         };
-        Suspect { task, evidence, ran: Some(ran) }
+        CrashSuspect { task, evidence, ran: Some(ran) }
     };
     suspects.map(suspect).collect()
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/kept_starts.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/deferred_starts.rs
@@ -20,20 +20,20 @@
 
 /// Starts that wait to be persisted, by job.
 #[derive(Debug, Default)]
-pub(super) struct KeptStarts {
-    waiting: BTreeMap<JobId, Vec<KeptStart>>,
+pub(super) struct DeferredStarts {
+    waiting: BTreeMap<JobId, Vec<DeferredStart>>,
 }
 
 /// A start order and the worker that it goes to.
 #[derive(Debug)]
-pub(super) struct KeptStart {
+pub(super) struct DeferredStart {
     instance: InstanceNo,
     order: StartOrder,
 }
 
-impl KeptStarts {
+impl DeferredStarts {
     /// Removes and returns the starts that a batch with the progress of the given jobs persists.
-    pub(super) fn take(&mut self, jobs: &[JobId]) -> Vec<KeptStart> {
+    pub(super) fn take(&mut self, jobs: &[JobId]) -> Vec<DeferredStart> {
         if self.waiting.is_empty() {
             return Vec::new();
         }
@@ -43,20 +43,24 @@
 
 impl Scheduler {
     /// Defers a start order until it is persisted.
-    pub(super) fn order_once_kept(&mut self, instance: InstanceNo, order: StartOrder) {
+    pub(super) fn defer_start_until_persisted(&mut self, instance: InstanceNo, order: StartOrder) {
         let job = order.task.job;
-        self.kept_starts.waiting.entry(job).or_default().push(KeptStart { instance, order });
+        self.deferred_starts
+            .waiting
+            .entry(job)
+            .or_default()
+            .push(DeferredStart { instance, order });
         self.pending.note_soon(job);
     }
 
     /// Sends the start orders that are now persisted, except those cancelled meanwhile.
-    pub(super) fn send_persisted_starts(&mut self, starts: Vec<KeptStart>) {
-        for KeptStart { instance: instance_no, order } in starts {
+    pub(super) fn send_persisted_starts(&mut self, starts: Vec<DeferredStart>) {
+        for DeferredStart { instance: instance_no, order } in starts {
             let instance = self.instances.get_mut(instance_no);
             let run = instance.and_then(|instance| instance.run_mut(order.task, order.run));
             let Some(run) = run.filter(|run| run.phase == Phase::Unpersisted) else { continue };
             run.phase = Phase::Ordered;
-            self.order(instance_no, Order::Start(order));
+            self.queue_order(instance_no, Order::Start(order));
         }
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/ends.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/ends.rs
@@ -63,7 +63,7 @@
             return;
         };
         let entry = LogEntry::RunEnded { task: end.task, run: end.run, worker, how: end.how };
-        self.out.push(Action::Log(entry));
+        self.actions.push(Action::Log(entry));
         self.placement_needed = true;
         self.remove_placement(end.task, Placement { instance: instance_no, run: end.run });
         self.update_checkpoint(end);
@@ -81,7 +81,7 @@
         if instance.runs().get(&end.task).is_some_and(|active_run| active_run.run == end.run) {
             let RunEnd { task, run, number, .. } = *end;
             let (worker, seen) = (instance.id().clone(), instance.last_end_received);
-            self.out.push(Action::Log(LogEntry::DuplicateEndIgnored {
+            self.actions.push(Action::Log(LogEntry::DuplicateEndIgnored {
                 task,
                 run,
                 worker,
--- a/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
@@ -193,7 +193,7 @@
 
     /// Logs once for each step with pending tasks if only evacuated zones have workers that could
     /// run them.
-    pub(super) fn note_if_zone_needed(&mut self, step: StepName) {
+    pub(super) fn log_if_zone_required(&mut self, step: StepName) {
         if self.evacuation.zones.is_empty() {
             return;
         }
@@ -208,7 +208,7 @@
         let mut capable = self.instances.values().filter(capable).peekable();
         if capable.peek().is_some() && capable.all(|instance| instance.zone_evacuated) {
             let (job, step) = (step.job, step.step);
-            self.out.push(Action::Log(LogEntry::WaitsForZone { job, step }));
+            self.actions.push(Action::Log(LogEntry::WaitsForZone { job, step }));
         }
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/gauges.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/gauges.rs
@@ -13,7 +13,7 @@
 const GAUGE_WINDOW: Duration = Duration::from_millis(500);
 
 /// Updates the interference model from a worker's latest report.
-pub(super) fn learn(tails: &mut TailModel, instance: &mut WorkerInstance, now: Time) {
+pub(super) fn learn_interference(tails: &mut TailModel, instance: &mut WorkerInstance, now: Time) {
     let loads = loads_in_window(instance, now);
     instance.free_capacity = None;
     for (_, run) in instance.runs_mut() {
--- a/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
@@ -271,7 +271,7 @@
     /// Logs that a worker has restarted under the same id.
     pub(super) fn log_worker_restart(&mut self, before: InstanceNo, after: InstanceNo) {
         let Some(instance) = self.instances.get(before) else { return };
-        if !instance.has_reported && !self.unheard.contains(&before) {
+        if !instance.has_reported && !self.unconfirmed_instances.contains(&before) {
             // The incarnation came from a late entry.
             return;
         }
@@ -279,6 +279,6 @@
         let (worker, ends_seen) = (instance.id().clone(), instance.last_end_received);
         let (before, runs) = (instance.entry.incarnation, instance.runs().len() as u32);
         let entry = LogEntry::WorkerRestarted { worker, before, now, ends_seen, runs };
-        self.out.push(Action::Log(entry));
+        self.actions.push(Action::Log(entry));
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/inherit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/inherit.rs
@@ -11,7 +11,7 @@
         worker_entry::WorkerEntry,
     },
     Scheduler,
-    crashed::Suspect,
+    crash_attribution::CrashSuspect,
 };
 use crate::{Resources, Time};
 
@@ -72,7 +72,7 @@
         for (worker, tasks) in recorded_starts {
             self.record_crash(
                 &worker,
-                tasks.into_iter().map(Suspect::from_recorded_start).collect(),
+                tasks.into_iter().map(CrashSuspect::from_recorded_start).collect(),
             );
         }
     }
@@ -80,7 +80,7 @@
     /// Handles the news that no earlier owner has renewed leases since a given time.
     pub(super) fn handle_earlier_owners_stopped(&mut self, stopped_at: Time) {
         let expires_at = stopped_at + self.lease_expiry_delay();
-        for &instance_no in &self.unheard {
+        for &instance_no in &self.unconfirmed_instances {
             if let Some(instance) =
                 self.instances.get_mut(instance_no).filter(|instance| !instance.contested)
             {
@@ -127,7 +127,7 @@
             instance.leasing = leasing;
             instance.inherited_starts = inherited_starts;
         }
-        self.unheard.insert(instance_no);
+        self.unconfirmed_instances.insert(instance_no);
         self.mark_contested(instance_no);
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/mod.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/mod.rs
@@ -6,7 +6,8 @@
 mod backlog;
 mod commit;
 mod confirmation;
-pub(super) mod crashed;
+pub(super) mod crash_attribution;
+mod deferred_starts;
 mod ends;
 mod evacuation;
 pub(super) mod filter;
@@ -16,7 +17,6 @@
 mod headroom;
 mod incarnations;
 mod inherit;
-mod kept_starts;
 mod lateness;
 mod leasing;
 mod orders;
@@ -36,8 +36,8 @@
 mod stragglers;
 pub(super) mod tails;
 mod unique_queue;
-mod unkept_ends;
 mod unlisted;
+mod unpersisted_ends;
 mod unusable;
 mod workers;
 
@@ -49,8 +49,9 @@
 
 pub use self::inherit::Inheritance;
 use self::{
-    backlog::Started, crashed::LostWorker, evacuation::ZoneEvacuation, kept_starts::KeptStarts,
-    overload::Overload, pending::Pending, short_work::ShortWork, tails::TailModel,
+    backlog::StartedTasks, crash_attribution::LostWorker, deferred_starts::DeferredStarts,
+    evacuation::ZoneEvacuation, overload::Overload, pending::Pending, short_work::ShortWork,
+    tails::TailModel,
 };
 use super::{
     event::{Action, Event, JobState},
@@ -73,7 +74,7 @@
 const LEASE_DURATION: Duration = Duration::from_millis(4_000);
 /// The most by which a worker's clock may run slower than ours, in percent, as guaranteed by the
 /// platform.
-pub(super) const CLOCK_SLOW_PERCENT: u32 = 2;
+pub(super) const MAX_CLOCK_SLOWDOWN_PERCENT: u32 = 2;
 /// The margin added to the end of every lease to cover delays on the owner's side.
 const LEASE_EXPIRY_MARGIN: Duration = Duration::from_millis(100);
 /// The minimum interval between two placement passes over all pending jobs. Newly accepted jobs are
@@ -87,9 +88,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct SchedulerSettings {
     /// The longest lease that workers grant.
-    pub longest_lease: Duration,
+    pub max_lease: Duration,
     /// How long the state of an ended job remains available.
-    pub remember_ended: Duration,
+    pub ended_job_retention: Duration,
     /// The interval at which workers renew their entries in the worker list.
     pub worker_heartbeat: Duration,
 }
@@ -104,7 +105,7 @@
     unix_ms: u64,
     jobs: BTreeMap<JobId, Job>,
     /// Open jobs in scheduling order.
-    open: BTreeSet<(u32, Time, JobId)>,
+    open_jobs: BTreeSet<(u32, Time, JobId)>,
     /// The outcomes of ended jobs whose end is persisted.
     ended_jobs: HashMap<JobId, Outcome>,
     /// The same jobs, ordered by end time.
@@ -115,27 +116,27 @@
     unused_service_entries: BTreeMap<WorkerName, WorkerEntry>,
     /// Worker instances used by an earlier owner that have neither answered nor outlasted their
     /// lease yet.
-    unheard: BTreeSet<InstanceNo>,
+    unconfirmed_instances: BTreeSet<InstanceNo>,
     /// Whether one of those crashed. Tasks that may have been running there unnoticed are then
     /// possible causes.
-    inherited_crashed: bool,
+    inherited_worker_crashed: bool,
     /// Workers whose instance ended recently.
     lost_workers: Vec<LostWorker>,
     /// The end of the last known store outage, if there was one.
     store_outage_until: Option<Time>,
     pending: Pending,
-    kept_starts: KeptStarts,
+    deferred_starts: DeferredStarts,
     tails: TailModel,
     short_work: ShortWork,
     evacuation: ZoneEvacuation,
     overload: Overload,
-    started: Started,
+    start_counts: StartedTasks,
     /// Whether something changed that may allow pending tasks to be placed.
     placement_needed: bool,
     /// The time of the last placement pass over all jobs.
     last_placement_at: Time,
     /// The actions to take, in order, collected while one event is handled.
-    out: Vec<Action>,
+    actions: Vec<Action>,
 }
 
 impl Scheduler {
@@ -149,31 +150,31 @@
     ) -> Self {
         let mut scheduler = Self {
             settings,
-            lease: settings.longest_lease.min(LEASE_DURATION),
+            lease: settings.max_lease.min(LEASE_DURATION),
             epoch,
             now,
             unix_ms,
             jobs: BTreeMap::new(),
-            open: BTreeSet::new(),
+            open_jobs: BTreeSet::new(),
             ended_jobs: HashMap::new(),
             ended_by_time: BTreeSet::new(),
             queues: BTreeMap::new(),
             instances: Instances::default(),
             unused_service_entries: BTreeMap::new(),
-            unheard: BTreeSet::new(),
-            inherited_crashed: false,
+            unconfirmed_instances: BTreeSet::new(),
+            inherited_worker_crashed: false,
             lost_workers: Vec::new(),
             store_outage_until: None,
             pending: Pending::default(),
-            kept_starts: KeptStarts::default(),
+            deferred_starts: DeferredStarts::default(),
             tails: TailModel::default(),
             short_work: ShortWork::default(),
             evacuation: ZoneEvacuation::default(),
             overload: Overload::default(),
-            started: Started::default(),
+            start_counts: StartedTasks::default(),
             placement_needed: true,
             last_placement_at: Time::ZERO,
-            out: Vec::new(),
+            actions: Vec::new(),
         };
         scheduler.inherit(inheritance);
         scheduler
@@ -201,12 +202,12 @@
                 self.handle_late_ends(instance, incarnation, &ended)
             }
             Event::Committed(batch) => self.handle_committed(batch),
-            Event::OwnerLagged(lag) => self.note_lag(lag),
+            Event::OwnerLagged(lag) => self.record_lag(lag),
             Event::Tick => self.tick(),
         }
         self.place_jobs_if_due();
         self.commit_if_due();
-        mem::take(&mut self.out)
+        mem::take(&mut self.actions)
     }
 
     /// Returns the job state that callers see, or `None` if the job is unknown.
@@ -229,9 +230,9 @@
 
     /// Returns the number of accepted jobs of each queue that have not started. Queues without any
     /// are omitted.
-    pub fn pending_by_queue(&self) -> BTreeMap<QueueName, u64> {
+    pub fn unstarted_jobs_by_queue(&self) -> BTreeMap<QueueName, u64> {
         let mut counts = BTreeMap::new();
-        for job in self.open.iter().filter_map(|(_, _, id)| self.jobs.get(id)) {
+        for job in self.open_jobs.iter().filter_map(|(_, _, id)| self.jobs.get(id)) {
             if job.is_persisted && !job.has_started {
                 *counts.entry(job.queue.name.clone()).or_insert(0) += 1;
             }
@@ -239,10 +240,10 @@
         counts
     }
 
-    fn note_lag(&mut self, lag: Duration) {
-        if let Some(takes_jobs) = self.overload.note_lag(lag, self.now) {
+    fn record_lag(&mut self, lag: Duration) {
+        if let Some(accepts_jobs) = self.overload.record_lag(lag, self.now) {
             let lag_ms = self.overload.lag().as_millis() as u64;
-            self.out.push(Action::Log(LogEntry::Overload { takes_jobs, lag_ms }));
+            self.actions.push(Action::Log(LogEntry::Overload { accepts_jobs, lag_ms }));
         }
     }
 
@@ -250,7 +251,7 @@
         let images = job.spec.steps.iter().map(|step| self.tails.number(step.image.as_deref()));
         job.images = images.collect();
         let id = job.id;
-        self.open.insert((job.queue.priority, job.due_at, id));
+        self.open_jobs.insert((job.queue.priority, job.due_at, id));
         self.jobs.insert(id, job);
         self.placement_needed = true;
     }
@@ -292,7 +293,7 @@
         let Some(instance) = self.instances.get(instance_no) else { return };
         let worker = instance.id().clone();
         let last_answer_age_ms = instance.last_answer_age_ms(self.now);
-        self.out.push(Action::Log(LogEntry::Worker { worker, state, last_answer_age_ms }));
+        self.actions.push(Action::Log(LogEntry::Worker { worker, state, last_answer_age_ms }));
     }
 
     /// Returns the fencing token that a worker instance starts with under this owner.
@@ -302,13 +303,13 @@
 
     /// Returns the delay after the last renewal until a lease has certainly expired.
     fn lease_expiry_delay(&self) -> Duration {
-        self.lease + self.lease * CLOCK_SLOW_PERCENT / 100 + LEASE_EXPIRY_MARGIN
+        self.lease + self.lease * MAX_CLOCK_SLOWDOWN_PERCENT / 100 + LEASE_EXPIRY_MARGIN
     }
 
     /// Returns the same delay for the longest lease that workers grant.
     fn longest_lease_expiry_delay(&self) -> Duration {
-        let longest = self.settings.longest_lease;
-        longest + longest * CLOCK_SLOW_PERCENT / 100 + LEASE_EXPIRY_MARGIN
+        let longest = self.settings.max_lease;
+        longest + longest * MAX_CLOCK_SLOWDOWN_PERCENT / 100 + LEASE_EXPIRY_MARGIN
     }
 
     fn tick(&mut self) {
--- a/crates/kitetrail-core/src/jobs/scheduler/orders.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/orders.rs
@@ -24,7 +24,7 @@
 
 impl Scheduler {
     /// Queues an order and sends it if no other order to the worker is in flight.
-    pub(super) fn order(&mut self, instance_no: InstanceNo, order: Order) {
+    pub(super) fn queue_order(&mut self, instance_no: InstanceNo, order: Order) {
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
         instance.orders.push_back(order);
         self.send_next_order(instance_no);
@@ -35,7 +35,7 @@
     /// Each order waits for the answer to the previous one, which takes twice the owner's lag when
     /// it is overloaded. Without priority, a halt queued behind 24 starts was sent after all of
     /// them, while the platform tolerates a tail latency above target for only 4 s.
-    pub(super) fn order_before_starts(&mut self, instance_no: InstanceNo, order: Order) {
+    pub(super) fn queue_before_starts(&mut self, instance_no: InstanceNo, order: Order) {
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
         let is_start = |waiting: &Order| matches!(waiting, Order::Start(_));
         let index = instance.orders.iter().position(is_start).unwrap_or(instance.orders.len());
@@ -81,7 +81,7 @@
     ) {
         let Some(instance) = self.instances.get(instance_no) else { return };
         let worker = instance.id().clone();
-        self.out.push(Action::Log(LogEntry::RunMoved { task, run, worker, why }));
+        self.actions.push(Action::Log(LogEntry::RunMoved { task, run, worker, why }));
         self.stop_run(instance_no, task, run);
     }
 
@@ -120,7 +120,7 @@
             lease_until_ms: clock_ms + lease.as_millis() as u64,
             order,
         };
-        self.out.push(action);
+        self.actions.push(action);
     }
 
     /// Handles the answer to an order, or its failure.
@@ -136,7 +136,7 @@
         if !matches!(answer, OrderAnswer::Done { .. }) {
             let (task, run) = order.run();
             let worker = instance.id().clone();
-            self.out.push(Action::Log(LogEntry::OrderFailed { task, run, worker, answer }));
+            self.actions.push(Action::Log(LogEntry::OrderFailed { task, run, worker, answer }));
         }
         match answer {
             OrderAnswer::LifeOver => {
@@ -217,7 +217,14 @@
         let (run, worker) = (run_state.run, instance.id().clone());
         let ran_ms = instance.confirmed_run_time(run_state).map(|ran| ran.as_millis() as u64);
         let beside = instance.runs().len().saturating_sub(1) as u32;
-        self.out.push(Action::Log(LogEntry::RunLost { task, run, worker, why, ran_ms, beside }));
+        self.actions.push(Action::Log(LogEntry::RunLost {
+            task,
+            run,
+            worker,
+            why,
+            ran_ms,
+            beside,
+        }));
     }
 
     /// Handles an order without an answer: it may have been executed, or may be later.
@@ -286,14 +293,14 @@
     fn handle_fenced_order(&mut self, instance_no: InstanceNo) {
         let first = self.initial_token();
         if self.instances.get(instance_no).is_some_and(|instance| instance.token == first) {
-            self.out.push(Action::Deposed);
+            self.actions.push(Action::Deposed);
         }
     }
 
     /// Handles a poll refused for its token, since the worker has seen a higher one.
     pub(super) fn handle_fenced_poll(&mut self, instance_no: InstanceNo, token: u64) {
         if self.instances.get(instance_no).is_some_and(|instance| instance.token <= token) {
-            self.out.push(Action::Deposed);
+            self.actions.push(Action::Deposed);
         }
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/overload.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/overload.rs
@@ -92,7 +92,7 @@
     }
 
     /// Returns whether new jobs are accepted.
-    pub(super) fn takes_jobs(&self) -> bool {
+    pub(super) fn accepts_jobs(&self) -> bool {
         !self.refuses_jobs
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Records the current lag. Returns whether jobs are accepted, if that changed.
-    pub(super) fn note_lag(&mut self, lag: Duration, now: Time) -> Option<bool> {
+    pub(super) fn record_lag(&mut self, lag: Duration, now: Time) -> Option<bool> {
         let gap_s = now.since(self.measured_at).as_secs_f64();
         self.measured_at = now;
         let decayed = self.lag.mul_f64((-gap_s / LAG_DECAY_TIME.as_secs_f64()).exp());
@@ -115,10 +115,10 @@
             }
             starts => starts,
         };
-        let took_jobs_before = self.takes_jobs();
+        let accepted_jobs_before = self.accepts_jobs();
         self.refuses_jobs =
             self.lag >= if self.refuses_jobs { JOBS_RESUME_LAG } else { JOBS_REFUSE_LAG };
-        (took_jobs_before != self.takes_jobs()).then_some(self.takes_jobs())
+        (accepted_jobs_before != self.accepts_jobs()).then_some(self.accepts_jobs())
     }
 }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/overload/tests.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/overload/tests.rs
@@ -16,8 +16,8 @@
 fn work_is_shed_in_order_as_the_lag_grows() {
     let shed_at = |lag_ms| {
         let mut overload = Overload::default();
-        overload.note_lag(ms(lag_ms), Time::from_ms(1_000));
-        (overload.may_move(), overload.starts_per_pass() > 0, overload.takes_jobs())
+        overload.record_lag(ms(lag_ms), Time::from_ms(1_000));
+        (overload.may_move(), overload.starts_per_pass() > 0, overload.accepts_jobs())
     };
     assert_eq!(shed_at(20), (true, true, true));
     assert_eq!(shed_at(250), (false, true, true));
@@ -29,27 +29,27 @@
 fn shed_work_resumes_once_the_lag_has_decayed_but_not_between_bursts() {
     let mut overload = Overload::default();
     let mut now = Time::from_ms(1_000);
-    assert_eq!(overload.note_lag(ms(900), now), Some(false));
+    assert_eq!(overload.record_lag(ms(900), now), Some(false));
     now = now + ms(100);
-    assert_eq!(overload.note_lag(Duration::ZERO, now), None);
-    assert!(overload.starts_per_pass() == 0 && !overload.takes_jobs());
+    assert_eq!(overload.record_lag(Duration::ZERO, now), None);
+    assert!(overload.starts_per_pass() == 0 && !overload.accepts_jobs());
     let mut changes = Vec::new();
     for _ in 0..150 {
         now = now + TICK;
-        changes.extend(overload.note_lag(Duration::ZERO, now));
+        changes.extend(overload.record_lag(Duration::ZERO, now));
     }
     assert_eq!(changes, [true]);
-    assert!(overload.may_move() && overload.starts_per_pass() > 0 && overload.takes_jobs());
+    assert!(overload.may_move() && overload.starts_per_pass() > 0 && overload.accepts_jobs());
 }
 
 #[test]
 fn lag_between_the_stop_and_resume_thresholds_changes_nothing() {
     let mut overload = Overload::default();
     let mut now = Time::from_ms(1_000);
-    overload.note_lag(ms(250), now);
+    overload.record_lag(ms(250), now);
     for tick in 0..200 {
         now = now + TICK;
-        overload.note_lag(ms(if tick % 10 == 0 { 290 } else { 160 }), now);
+        overload.record_lag(ms(if tick % 10 == 0 { 290 } else { 160 }), now);
         assert!(overload.starts_per_pass() > 0);
     }
 }
@@ -58,9 +58,9 @@
 fn poll_pause_grows_with_the_lag_up_to_a_limit() {
     let mut overload = Overload::default();
     assert_eq!(overload.poll_pause(), Duration::ZERO);
-    overload.note_lag(ms(100), Time::from_ms(1_000));
+    overload.record_lag(ms(100), Time::from_ms(1_000));
     assert_eq!(overload.poll_pause(), ms(400));
-    overload.note_lag(ms(5_000), Time::from_ms(1_020));
+    overload.record_lag(ms(5_000), Time::from_ms(1_020));
     assert_eq!(overload.poll_pause(), ms(900));
 }
 
@@ -69,11 +69,11 @@
     let mut overload = Overload::default();
     assert_eq!(overload.starts_per_pass(), u32::MAX);
     let mut now = Time::from_ms(1_000);
-    overload.note_lag(ms(400), now);
+    overload.record_lag(ms(400), now);
     let mut starts = Vec::new();
     for _ in 0..500 {
         now = now + TICK;
-        overload.note_lag(Duration::ZERO, now);
+        overload.record_lag(Duration::ZERO, now);
         starts.push(overload.starts_per_pass());
     }
     let first_resumed = starts.iter().position(|&starts| starts > 0).expect("starts resume");
--- a/crates/kitetrail-core/src/jobs/scheduler/pace.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pace.rs
@@ -41,7 +41,7 @@
     /// Learns from the latest report of a worker, and adjusts the pace of its best-effort runs.
     pub(super) fn control_pace(&mut self, instance_no: InstanceNo) {
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
-        gauges::learn(&mut self.tails, instance, self.now);
+        gauges::learn_interference(&mut self.tails, instance, self.now);
         self.repace(instance_no);
         self.move_slowed(instance_no);
     }
@@ -67,7 +67,11 @@
         if let Some(percent) = changed_percents.into_iter().min() {
             let worker = instance.id().clone();
             let tail_of_target_percent = worst_tail_percent(instance).unwrap_or(0);
-            self.out.push(Action::Log(LogEntry::Paced { worker, percent, tail_of_target_percent }));
+            self.actions.push(Action::Log(LogEntry::Paced {
+                worker,
+                percent,
+                tail_of_target_percent,
+            }));
         }
         self.order_paces(instance_no);
     }
@@ -87,7 +91,7 @@
             }
         }
         for order in orders {
-            self.order_before_starts(instance_no, order);
+            self.queue_before_starts(instance_no, order);
         }
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/pending.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pending.rs
@@ -8,9 +8,9 @@
         names::{InstanceKey, JobId},
         record::Outcome,
     },
-    kept_starts::KeptStart,
+    deferred_starts::DeferredStart,
     unique_queue::UniqueQueue,
-    unkept_ends::{ToldEnd, UnkeptEnds},
+    unpersisted_ends::{ReportedEnd, UnpersistedEnds},
 };
 use crate::Time;
 
@@ -56,7 +56,7 @@
     ended_workers: BTreeSet<InstanceKey>,
     /// Whether a record is to be persisted without delay.
     pub(super) urgent: bool,
-    unpersisted_ends: UnkeptEnds,
+    unpersisted_ends: UnpersistedEnds,
     /// When the learned effects of images were last persisted.
     pub(super) effects_at: Time,
     next_batch: u64,
@@ -80,7 +80,7 @@
     pub(super) outcomes: Vec<(JobId, Outcome)>,
     pub(super) instances: Vec<InstanceNo>,
     /// Starts to order once the batch is persisted.
-    pub(super) starts: Vec<KeptStart>,
+    pub(super) starts: Vec<DeferredStart>,
 }
 
 /// The records taken for one batch.
@@ -259,13 +259,13 @@
     }
 
     /// Takes out the ends whose changes are all persisted, while no batch is in flight.
-    pub(super) fn take_kept_ends(&mut self) -> Vec<ToldEnd> {
+    pub(super) fn take_kept_ends(&mut self) -> Vec<ReportedEnd> {
         debug_assert!(
             self.sent.is_none(),
             "the changes of a batch in flight are not persisted yet"
         );
         let oldest = self.ended.oldest().into_iter().chain(self.progress.oldest()).min();
-        self.unpersisted_ends.take_kept(oldest)
+        self.unpersisted_ends.take_persisted(oldest)
     }
 
     /// Returns how long ago the batch in flight was sent, if there is one.
--- a/crates/kitetrail-core/src/jobs/scheduler/place.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/place.rs
@@ -45,21 +45,21 @@
             let job = self.jobs.get(&id).filter(|job| job.may_have_waiting_tasks)?;
             Some((priority, PlacementRank::of(job, self.now), due_at, id))
         };
-        let mut waiting = self.open.iter().filter_map(key).collect::<Vec<_>>();
+        let mut waiting = self.open_jobs.iter().filter_map(key).collect::<Vec<_>>();
         waiting.sort_unstable();
         waiting.into_iter().map(|(.., id)| id).collect()
     }
 
     /// Places the waiting tasks of one job.
     pub(super) fn place_job(&mut self, id: JobId, pass: &mut PlacementPass) {
-        let (now, awaits_workers) = (self.now, !self.unheard.is_empty());
+        let (now, awaits_workers) = (self.now, !self.unconfirmed_instances.is_empty());
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.is_persisted) else { return };
         let lateness = Lateness::of(job, now);
         if (job.inherited && awaits_workers) || pass.starts_left == 0 {
             return;
         }
         for step in job.due_steps(now) {
-            self.note_if_zone_needed(step);
+            self.log_if_zone_required(step);
             let spec = self.jobs.get(&id).and_then(|job| job.step_spec(step.step));
             let Some(spec) = spec.filter(|spec| !pass.has_no_room_for(spec, lateness)).cloned()
             else {
@@ -262,13 +262,13 @@
         task.last_run = run;
         let suspected = !task.crashes.workers.is_empty();
         let runs_alone = task.crashes.runs_alone();
-        task.record_start(self.inherited_crashed);
+        task.record_start(self.inherited_worker_crashed);
         let persist_first = task.persists_starts;
         task.crashes.begun = persist_first.then(|| PersistedStart::new(run, instance.entry.key()));
         task.placed.push(Placement { instance: instance_no, run });
         let checkpoint = task.checkpoint.clone().filter(|_| spec.keeps_progress);
-        self.started.record(spec.kind(), job.can_be_in_time(self.now));
-        self.out.push(Action::Log(LogEntry::Placed {
+        self.start_counts.record(spec.kind(), job.can_be_in_time(self.now));
+        self.actions.push(Action::Log(LogEntry::Placed {
             task: name,
             run,
             worker: instance.id().clone(),
@@ -287,8 +287,8 @@
         instance.insert_run(name, PlacedRun { phase, suspected, alone: runs_alone, ..new_run });
         let order = StartOrder { task: name, run, payload, checkpoint, ticket: None };
         match persist_first {
-            true => self.order_once_kept(instance_no, order),
-            false => self.order(instance_no, Order::Start(order)),
+            true => self.defer_start_until_persisted(instance_no, order),
+            false => self.queue_order(instance_no, Order::Start(order)),
         }
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/poll_answers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/poll_answers.rs
@@ -103,7 +103,7 @@
         instance.last_end_acknowledged = instance.last_end_acknowledged.max(poll.acknowledged_end);
         let contested = instance.contested;
         instance.update_running(report);
-        self.unheard.remove(&instance_no);
+        self.unconfirmed_instances.remove(&instance_no);
         if first || contested {
             self.end_earlier_instances(instance_no, sent_at, report);
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/polls.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/polls.rs
@@ -61,7 +61,7 @@
         }
         instance.poll_in_flight = true;
         let poll = Poll { token: instance.token, lease_until_ms, acknowledged_end, wait_ms };
-        self.out.push(Action::Poll {
+        self.actions.push(Action::Poll {
             instance: instance_no,
             entry: Arc::clone(&instance.entry),
             poll,
--- a/crates/kitetrail-core/src/jobs/scheduler/quarantine.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/quarantine.rs
@@ -30,7 +30,7 @@
     }
 
     /// Sets aside a worker whose runs make no progress.
-    pub(super) fn quarantine_hanging(&mut self, instance_no: InstanceNo) {
+    pub(super) fn quarantine_stalled(&mut self, instance_no: InstanceNo) {
         let now = self.now;
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
         let already_quarantined = instance.quarantined_until.is_some_and(|until| until > now);
--- a/crates/kitetrail-core/src/jobs/scheduler/requests.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/requests.rs
@@ -24,20 +24,20 @@
     ) {
         let tasks = spec.steps.iter().map(|step| u64::from(step.count)).sum();
         let ended = self.ended_jobs.contains_key(&id);
-        let takes_jobs = self.takes_jobs();
+        let accepts_jobs = self.accepts_jobs();
         let known = self.jobs.get_mut(&id);
         let is_known = ended || known.is_some();
         let entry =
             LogEntry::Submitted { job: id, queue: queue.name.clone(), tasks, known: is_known };
-        self.out.push(Action::Log(entry));
+        self.actions.push(Action::Log(entry));
         match known {
-            _ if ended => self.out.push(Action::AnswerSubmit(request, SubmitAnswer::Accepted)),
+            _ if ended => self.actions.push(Action::AnswerSubmit(request, SubmitAnswer::Accepted)),
             Some(job) if job.is_persisted => {
-                self.out.push(Action::AnswerSubmit(request, SubmitAnswer::Accepted));
+                self.actions.push(Action::AnswerSubmit(request, SubmitAnswer::Accepted));
             }
             Some(job) => job.submit_waiters.push(request),
-            None if !takes_jobs => {
-                self.out.push(Action::AnswerSubmit(request, SubmitAnswer::Refused));
+            None if !accepts_jobs => {
+                self.actions.push(Action::AnswerSubmit(request, SubmitAnswer::Refused));
             }
             None => {
                 let mut job = Job::new(id, queue, spec, self.now, self.unix_ms);
@@ -50,18 +50,18 @@
     }
 
     /// Returns whether a new job can be accepted, so that its caller is answered in time.
-    fn takes_jobs(&self) -> bool {
+    fn accepts_jobs(&self) -> bool {
         let lag = self.overload.lag();
-        self.overload.takes_jobs() && !self.pending.keeps_too_late(lag, self.now)
+        self.overload.accepts_jobs() && !self.pending.keeps_too_late(lag, self.now)
     }
 
     /// Cancels a job. The caller is answered once that is persisted.
     pub(super) fn cancel(&mut self, request: JobRequestId, id: JobId) {
         match self.jobs.get_mut(&id) {
             None if self.ended_jobs.contains_key(&id) => {
-                self.out.push(Action::AnswerCancel(request, CancelAnswer::Done));
+                self.actions.push(Action::AnswerCancel(request, CancelAnswer::Done));
             }
-            None => self.out.push(Action::AnswerCancel(request, CancelAnswer::Unknown(id))),
+            None => self.actions.push(Action::AnswerCancel(request, CancelAnswer::Unknown(id))),
             Some(job) => {
                 job.cancel_waiters.push(request);
                 if job.is_open() {
@@ -76,9 +76,9 @@
         self.queues = queues.into_iter().map(|queue| (queue.name.clone(), queue)).collect();
         for job in self.jobs.values_mut().filter(|job| job.is_open()) {
             if let Some(queue) = self.queues.get(&job.queue.name) {
-                self.open.remove(&(job.queue.priority, job.due_at, job.id));
+                self.open_jobs.remove(&(job.queue.priority, job.due_at, job.id));
                 job.queue = queue.clone();
-                self.open.insert((job.queue.priority, job.due_at, job.id));
+                self.open_jobs.insert((job.queue.priority, job.due_at, job.id));
             }
         }
         self.list_newly_used_services();
@@ -88,7 +88,7 @@
     /// Sets the outcome of a job and stops its remaining runs.
     pub(super) fn end_job(&mut self, id: JobId, outcome: Outcome) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        self.open.remove(&(job.queue.priority, job.due_at, id));
+        self.open_jobs.remove(&(job.queue.priority, job.due_at, id));
         job.outcome = outcome;
         job.ended_unix_ms = Some(self.unix_ms);
         let state = match outcome {
@@ -96,7 +96,7 @@
             Outcome::Cancelled => JobState::Cancelled,
             Outcome::Completed | Outcome::Open => JobState::Completed,
         };
-        self.out.push(Action::Log(LogEntry::JobEnded {
+        self.actions.push(Action::Log(LogEntry::JobEnded {
             job: id,
             state,
             after_ms: self.now.since(job.accepted_at).as_millis() as u64,
@@ -117,11 +117,11 @@
         }
         for id in self.pending.take_unsent() {
             let Some(job) = self.jobs.remove(&id) else { continue };
-            self.open.remove(&(job.queue.priority, job.due_at, id));
+            self.open_jobs.remove(&(job.queue.priority, job.due_at, id));
             let refuse = |request| Action::AnswerSubmit(request, SubmitAnswer::Refused);
-            self.out.extend(job.submit_waiters.into_iter().map(refuse));
+            self.actions.extend(job.submit_waiters.into_iter().map(refuse));
             let cancelled = |request| Action::AnswerCancel(request, CancelAnswer::Unknown(id));
-            self.out.extend(job.cancel_waiters.into_iter().map(cancelled));
+            self.actions.extend(job.cancel_waiters.into_iter().map(cancelled));
         }
     }
 
@@ -141,7 +141,7 @@
 
     /// Removes jobs that ended longer ago than the retention time.
     pub(super) fn remove_expired_jobs(&mut self) {
-        let remembered_ms = self.settings.remember_ended.as_millis() as u64;
+        let remembered_ms = self.settings.ended_job_retention.as_millis() as u64;
         while let Some(&(ended_unix_ms, id)) = self.ended_by_time.first()
             && ended_unix_ms + remembered_ms <= self.unix_ms
         {
--- a/crates/kitetrail-core/src/jobs/scheduler/stragglers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/stragglers.rs
@@ -64,7 +64,7 @@
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
         let ProgressCheck { stalled, others, progressing } = measure_progress(instance, now);
         if stalled.len() >= HUNG_WORKER_STALLED_RUNS && progressing == 0 {
-            self.quarantine_hanging(instance_no);
+            self.quarantine_stalled(instance_no);
         }
         for task in stalled {
             self.copy_or_move(instance_no, task, Problem::Stalled);
--- a/crates/kitetrail-core/src/jobs/scheduler/unkept_ends.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/unpersisted_ends.rs
@@ -6,7 +6,7 @@
 
 /// An end reported by a worker.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct ToldEnd {
+pub(super) struct ReportedEnd {
     pub(super) instance: InstanceNo,
     /// The worker's number of the end.
     pub(super) number: u64,
@@ -22,12 +22,12 @@
 /// were acknowledged only when nothing at all was waiting, they would pile up, and reading them
 /// would take the time needed to persist records.
 #[derive(Debug, Default)]
-pub(super) struct UnkeptEnds {
-    reported: VecDeque<ToldEnd>,
+pub(super) struct UnpersistedEnds {
+    reported: VecDeque<ReportedEnd>,
     last_seq: u64,
 }
 
-impl UnkeptEnds {
+impl UnpersistedEnds {
     /// Returns the number of ends that are not persisted.
     pub(super) fn len(&self) -> usize {
         self.reported.len()
@@ -41,14 +41,15 @@
     /// Records an end, before the changes that it causes.
     pub(super) fn push(&mut self, instance: InstanceNo, number: u64) {
         self.last_seq += 1;
-        self.reported.push_back(ToldEnd { instance, number, seq: self.last_seq });
+        self.reported.push_back(ReportedEnd { instance, number, seq: self.last_seq });
     }
 
     /// Removes and returns the persisted ends, given the number of the oldest change that is not
     /// persisted.
-    pub(super) fn take_kept(&mut self, oldest_unkept: Option<u64>) -> Vec<ToldEnd> {
-        let is_unkept = |end: &ToldEnd| oldest_unkept.is_some_and(|oldest| oldest <= end.seq);
-        let kept = self.reported.iter().position(is_unkept).unwrap_or(self.reported.len());
-        self.reported.drain(..kept).collect()
+    pub(super) fn take_persisted(&mut self, oldest_unpersisted: Option<u64>) -> Vec<ReportedEnd> {
+        let is_unpersisted =
+            |end: &ReportedEnd| oldest_unpersisted.is_some_and(|oldest| oldest <= end.seq);
+        let count = self.reported.iter().position(is_unpersisted).unwrap_or(self.reported.len());
+        self.reported.drain(..count).collect()
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/workers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/workers.rs
@@ -77,7 +77,7 @@
         let suspects = self.crash_suspects(instance_no, end);
         self.drop_all_runs(instance_no, end.why());
         let Some(instance) = self.instances.remove(instance_no) else { return };
-        self.inherited_crashed |= self.unheard.remove(&instance_no);
+        self.inherited_worker_crashed |= self.unconfirmed_instances.remove(&instance_no);
         self.record_lost_worker(&instance);
         self.record_crash(&instance.entry.key(), suspects);
         self.pending.remove_instance(instance_no, instance.entry.key(), instance.is_persisted);
@@ -98,7 +98,7 @@
             // The ends of its runs may be in answers that were received but not read, so a lagging
             // owner polls again.
             true if instance.silent_while_owner_on_time || grace_is_over => {
-                self.inherited_crashed |= self.unheard.remove(&instance_no);
+                self.inherited_worker_crashed |= self.unconfirmed_instances.remove(&instance_no);
                 self.drop_runs_of_silent_worker(instance_no);
             }
             _ => {}
--- a/crates/kitetrail-core/tests/fleet/owners.rs
+++ b/crates/kitetrail-core/tests/fleet/owners.rs
@@ -87,8 +87,8 @@
 /// Creates the scheduler of an owner.
 pub(super) fn scheduler(epoch: u64, inheritance: Inheritance, now: Time) -> Scheduler {
     let settings = SchedulerSettings {
-        longest_lease: Duration::from_secs(6),
-        remember_ended: Duration::from_secs(120),
+        max_lease: Duration::from_secs(6),
+        ended_job_retention: Duration::from_secs(120),
         worker_heartbeat: Duration::from_millis(1_100),
     };
     Scheduler::new(settings, epoch, inheritance, now, DAY_UNIX_MS + now.as_ms())
--- a/crates/kitetraild/src/fleet/log_entries.rs
+++ b/crates/kitetraild/src/fleet/log_entries.rs
@@ -70,8 +70,8 @@
             job = job.to_string(), step = *step;
             "job: waits, only zones that are being evacuated could run it"
         ),
-        LogEntry::Overload { takes_jobs, lag_ms } => log::warn!(
-            takes_jobs = *takes_jobs, lag_ms = *lag_ms;
+        LogEntry::Overload { accepts_jobs, lag_ms } => log::warn!(
+            takes_jobs = *accepts_jobs, lag_ms = *lag_ms;
             "owner: overloaded, or no more"
         ),
         LogEntry::Backlog {
--- a/crates/kitetraild/src/fleet/owner/mod.rs
+++ b/crates/kitetraild/src/fleet/owner/mod.rs
@@ -329,7 +329,7 @@
             self.published_runs_left = runs_left;
             self.shared.metrics.note_evacuated_runs_left(runs_left);
         }
-        let counts = self.scheduler.pending_by_queue();
+        let counts = self.scheduler.unstarted_jobs_by_queue();
         let counts = counts.into_iter().map(|(queue, count)| (queue.to_string(), count));
         self.shared.record_pending(counts);
     }
--- a/crates/kitetraild/src/fleet/settings.rs
+++ b/crates/kitetraild/src/fleet/settings.rs
@@ -31,9 +31,9 @@
     /// The interval at which workers renew their entries in the list.
     pub worker_heartbeat: Duration,
     /// The longest lease that workers grant.
-    pub longest_lease: Duration,
+    pub max_lease: Duration,
     /// The time for which the state of an ended job is kept.
-    pub remember_ended: Duration,
+    pub ended_job_retention: Duration,
     /// The number of workers that the box can manage as the owner.
     pub strength: BoxStrength,
     /// The timeouts of connections.
--- a/crates/kitetraild/src/fleet/takeover.rs
+++ b/crates/kitetraild/src/fleet/takeover.rs
@@ -218,8 +218,8 @@
     inheritance: Inheritance,
 ) -> Scheduler {
     let settings = SchedulerSettings {
-        longest_lease: shared.settings.longest_lease,
-        remember_ended: shared.settings.remember_ended,
+        max_lease: shared.settings.max_lease,
+        ended_job_retention: shared.settings.ended_job_retention,
         worker_heartbeat: shared.settings.worker_heartbeat,
     };
     let now = shared.clock.now();
