--- a/crates/kitetrail-core/src/jobs/instances.rs
+++ b/crates/kitetrail-core/src/jobs/instances.rs
@@ -60,7 +60,7 @@
     }
 
     /// Records that an instance is the listed one of its worker.
-    pub(super) fn note_listed(&mut self, number: InstanceNo) {
+    pub(super) fn record_listed(&mut self, number: InstanceNo) {
         let Some(instance) = self.slots.get(number.0 as usize).and_then(Option::as_ref) else {
             return;
         };
--- a/crates/kitetrail-core/src/jobs/mod.rs
+++ b/crates/kitetrail-core/src/jobs/mod.rs
@@ -35,6 +35,6 @@
     ServingEffects, StepProgress,
 };
 pub use report::{Poll, PollFailure, Report, RunEnd, RunResult, RunningTask};
-pub use scheduler::{Inheritance, Scheduler, SchedulerSettings};
+pub use scheduler::{InheritedState, Scheduler, SchedulerSettings};
 pub use spec::{InvalidJob, JobSpec, QueueTerms, Schedule, StepSpec, WorkKind};
 pub use worker_entry::WorkerEntry;
--- a/crates/kitetrail-core/src/jobs/run.rs
+++ b/crates/kitetrail-core/src/jobs/run.rs
@@ -104,7 +104,7 @@
             progress: Progress::new(now),
             gauge: None,
             paced_percent: FULL_PACE_PERCENT,
-            own_stress: Estimate::own(),
+            own_stress: Estimate::own_prior(),
             learned_at: None,
             above_target_since: None,
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/backlog.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/backlog.rs
@@ -54,7 +54,7 @@
 
 impl Scheduler {
     /// Reports the waiting and the started tasks if a report is due.
-    pub(super) fn tell_backlog_if_due(&mut self) {
+    pub(super) fn report_backlog_if_due(&mut self) {
         if self.now.since(self.start_counts.reported_at) < REPORT_INTERVAL {
             return;
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/commit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/commit.rs
@@ -13,7 +13,7 @@
         worker_entry::WorkerEntry,
     },
     Scheduler,
-    pending::{Batch, Taken},
+    pending::{Batch, BatchRecords},
 };
 
 /// The longest time that ends of runs wait to share a batch. Workers retain them meanwhile.
@@ -25,7 +25,7 @@
 impl Scheduler {
     /// Sends a batch if one is due and none is in flight.
     pub(super) fn commit_if_due(&mut self) {
-        if self.pending.sent.is_some() {
+        if self.pending.in_flight.is_some() {
             return;
         }
         if self.pending.is_empty() {
@@ -65,7 +65,7 @@
 
     /// Allows acknowledging the ends of runs whose changes are all persisted.
     fn acknowledge_persisted_ends(&mut self) {
-        for end in self.pending.take_kept_ends() {
+        for end in self.pending.take_persisted_ends() {
             if let Some(instance) = self.instances.get_mut(end.instance) {
                 instance.last_end_persisted = instance.last_end_persisted.max(end.number);
             }
@@ -98,8 +98,8 @@
         let taken = self.pending.take_batch(stored_bytes, has_ended);
         self.mark_instances_sent(&taken.instances);
         let mut records = self.records(&taken);
-        if self.now.since(self.pending.effects_at) >= EFFECTS_PERSIST_INTERVAL {
-            self.pending.effects_at = self.now;
+        if self.now.since(self.pending.effects_persisted_at) >= EFFECTS_PERSIST_INTERVAL {
+            self.pending.effects_persisted_at = self.now;
             records.push(Record::Effects(self.tails.export()));
         }
         let job = |id: &JobId| self.jobs.get(id);
@@ -108,13 +108,13 @@
         let starts = self.deferred_starts.take(&taken.progress);
         let (new_jobs, instances) = (taken.new_jobs, taken.instances);
         let batch = |number| Batch { number, new_jobs, outcomes, instances, starts };
-        let batch = self.pending.note_sent(batch, self.now);
+        let batch = self.pending.record_sent(batch, self.now);
         self.pending.urgent = !taken.complete;
         self.actions.push(Action::Commit { batch, records });
     }
 
     /// Returns the store records of a batch.
-    fn records(&self, taken: &Taken) -> Vec<Record> {
+    fn records(&self, taken: &BatchRecords) -> Vec<Record> {
         let job = |id: &JobId| self.jobs.get(id);
         let used = |instance: &InstanceNo| {
             let instance = self.instances.get(*instance)?;
@@ -139,7 +139,7 @@
         records.extend(progress.map(Job::progress).map(Record::Progress));
         records.extend(dropped.map(Record::RemoveJob));
         records.extend(taken.ended_instances.iter().cloned().map(Record::RemoveInstance));
-        records.extend(taken.forgotten.iter().copied().map(Record::RemoveProgress));
+        records.extend(taken.jobs_to_delete.iter().copied().map(Record::RemoveProgress));
         records
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/crash_attribution.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/crash_attribution.rs
@@ -155,7 +155,7 @@
             evidence: suspect.evidence,
             crashes,
         }));
-        self.pending.note(name.job);
+        self.pending.record_progress(name.job);
         if is_blamed {
             self.fail_crashing_job(name);
         }
@@ -195,7 +195,7 @@
         }
         task.crashes.clear();
         self.actions.push(Action::Log(LogEntry::SuspicionCleared { task: name }));
-        self.pending.note(name.job);
+        self.pending.record_progress(name.job);
         true
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/deferred_starts.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/deferred_starts.rs
@@ -50,7 +50,7 @@
             .entry(job)
             .or_default()
             .push(DeferredStart { instance, order });
-        self.pending.note_soon(job);
+        self.pending.record_start(job);
     }
 
     /// Sends the start orders that are now persisted, except those cancelled meanwhile.
--- a/crates/kitetrail-core/src/jobs/scheduler/ends.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/ends.rs
@@ -37,7 +37,7 @@
             let cpu_millis = run.gauge.unwrap_or(run.size.cpu_millis.0);
             instance.just_ended.push(JustEnded { image: run.image, cpu_millis, at: now });
         }
-        self.pending.note_end(instance_no, end.number);
+        self.pending.record_end(instance_no, end.number);
         self.record_duration(end.task, run_duration_ms);
         self.apply_run_end(instance_no, end);
     }
@@ -127,7 +127,7 @@
         job.may_have_waiting_tasks = true;
         let all_done = job.all_done();
         job.remove_done_occurrences();
-        self.pending.note(name.job);
+        self.pending.record_progress(name.job);
         // Other members of a gang end on their own; speculative copies of a task must be stopped.
         for placed in copies.into_iter().filter(|_| !gang) {
             self.stop_run(placed.instance, name, placed.run);
@@ -153,7 +153,7 @@
         let failed = task.failed_runs.len() as u32;
         task.not_before = Some(now + RETRY_BACKOFF * failed.max(1));
         let failed = if gang { job.failed_runs_of_gang(name.step_name()) } else { failed };
-        self.pending.note(name.job);
+        self.pending.record_progress(name.job);
         if !long_running && failed >= max_attempts.max(1) {
             self.end_job(name.job, Outcome::Failed);
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/evacuation.rs
@@ -17,8 +17,8 @@
         spec::StepSpec,
     },
     Scheduler,
-    free_capacity::{added, full_loads},
-    stragglers::left_ms,
+    free_capacity::{added_stress, full_speed_loads},
+    stragglers::remaining_ms,
 };
 use crate::Time;
 
@@ -109,7 +109,7 @@
     /// Moves one run out of an evacuated zone if a move is due and there is capacity elsewhere.
     pub(super) fn evacuate_zones_if_due(&mut self) {
         let due = self.now.since(self.evacuation.last_move_at) >= MOVE_INTERVAL;
-        if self.evacuation.zones.is_empty() || !due || self.short_work.waits() {
+        if self.evacuation.zones.is_empty() || !due || self.short_tasks.has_waiting_tasks() {
             return;
         }
         self.evacuation.last_move_at = self.now;
@@ -147,7 +147,7 @@
             let spec = self.step_spec(task).filter(|spec| !spec.gang).cloned();
             spec.is_some_and(|spec| {
                 self.may_interrupt(task, &spec)
-                    && !self.takes_room_of_short_work(&spec)
+                    && !self.takes_capacity_of_short_tasks(&spec)
                     && self.has_undisturbed_placement(task, &spec)
             })
         })
@@ -156,12 +156,13 @@
     /// Returns whether a task can be placed elsewhere. A serving task must also not be
     /// disturbed by best-effort tasks there, since it will soon be alone where it is.
     fn has_undisturbed_placement(&mut self, name: TaskName, spec: &StepSpec) -> bool {
-        let Some(instance_no) = self.choose(name, spec, &[]) else { return false };
+        let Some(instance_no) = self.choose_worker(name, spec, &[]) else { return false };
         let image = self.jobs.get(&name.job).and_then(|job| job.images.get(name.step as usize));
         let Some((instance, &image)) = self.instances.get(instance_no).zip(image) else {
             return false;
         };
-        spec.tail_target_ms.is_none() || added(&self.tails, &full_loads(instance), image) == 0.0
+        spec.tail_target_ms.is_none()
+            || added_stress(&self.tails, &full_speed_loads(instance), image) == 0.0
     }
 
     /// Returns whether a task may be interrupted for a move. Tasks of a long-running step move one
@@ -222,7 +223,8 @@
 /// and has long to go.
 fn must_move(run: &PlacedRun, now: Time) -> bool {
     let is_active = !run.stopping && run.is_running();
-    let is_long = left_ms(run, now).is_some_and(|left_ms| left_ms > MIN_REMAINING_TO_MOVE_MS);
+    let is_long =
+        remaining_ms(run, now).is_some_and(|remaining_ms| remaining_ms > MIN_REMAINING_TO_MOVE_MS);
     is_active && (run.is_long_running || (run.keeps_progress && is_long))
 }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/filter.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/filter.rs
@@ -39,7 +39,7 @@
 
 impl Estimate {
     /// Returns the own stress assumed for a task that has not reported yet.
-    pub(in crate::jobs) const fn own() -> Self {
+    pub(in crate::jobs) const fn own_prior() -> Self {
         Self { mean: OWN_PRIOR, variance: OWN_PRIOR_VARIANCE }
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/fit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/fit.rs
@@ -9,10 +9,10 @@
         run::PlacedRun,
         spec::StepSpec,
     },
-    free_capacity::{FreeCapacity, added, capacity_millis, full_loads},
+    free_capacity::{FreeCapacity, added_stress, capacity_millis, full_speed_loads},
     lateness::Lateness,
     pace::OWN_STRESS_RISE,
-    short_work::ShortWork,
+    short_tasks::ShortTasks,
     tails::{ImageNo, TailModel},
 };
 use crate::Time;
@@ -71,7 +71,7 @@
     /// How late the job is: hopelessly late jobs accept worse workers.
     pub(super) lateness: Lateness,
     pub(super) tails: &'a TailModel,
-    pub(super) short_work: &'a ShortWork,
+    pub(super) short_tasks: &'a ShortTasks,
 }
 
 impl Fit<'_> {
@@ -96,7 +96,7 @@
             // short tasks of which few fit on a worker. Other short tasks are spread, so that every
             // worker keeps some capacity for best-effort tasks.
             (false, true) => free_capacity.free_share,
-            (false, false) if self.short_work.is_packed() => free_capacity.free_share,
+            (false, false) if self.short_tasks.is_packed() => free_capacity.free_share,
             (false, false) => 1.0 - free_capacity.free_share,
         };
         let is_far =
@@ -136,7 +136,8 @@
                 is_acceptable.then_some(slowed + penalty + SCARCITY_WEIGHT * headroom.tolerance)
             }
             (_, true) => {
-                let stress = added(self.tails, &full_loads(instance), self.image).min(1.0);
+                let stress =
+                    added_stress(self.tails, &full_speed_loads(instance), self.image).min(1.0);
                 let serves_only_others = free_capacity
                     .headroom(instance, self.tails)
                     .serves_only_other_images(self.image);
--- a/crates/kitetrail-core/src/jobs/scheduler/free_capacity.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/free_capacity.rs
@@ -155,7 +155,7 @@
 }
 
 /// Returns the load of the best-effort tasks on a worker at full speed, by image.
-pub(super) fn full_loads(instance: &WorkerInstance) -> Vec<Load> {
+pub(super) fn full_speed_loads(instance: &WorkerInstance) -> Vec<Load> {
     loads_by(instance, |run| f64::from(run.size.cpu_millis.0))
 }
 
@@ -174,7 +174,7 @@
 }
 
 /// Returns the stress that best-effort tasks add to a serving image.
-pub(super) fn added(tails: &TailModel, loads: &[Load], serving_image: ImageNo) -> f64 {
+pub(super) fn added_stress(tails: &TailModel, loads: &[Load], serving_image: ImageNo) -> f64 {
     let effects = loads
         .iter()
         .map(|&(best_effort_image, load)| (tails.effect(best_effort_image, serving_image), load));
--- a/crates/kitetrail-core/src/jobs/scheduler/gauges.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/gauges.rs
@@ -5,7 +5,7 @@
 use super::{
     super::instance::WorkerInstance,
     free_capacity::{capacity_millis, loads_by},
-    tails::{Load, Tail, TailModel},
+    tails::{Load, TailModel, TailReport},
 };
 use crate::Time;
 
@@ -24,10 +24,14 @@
         let above_target = u64::from(tail_ms) > target_ms;
         run.above_target_since =
             if above_target { run.above_target_since.or(Some(now)) } else { None };
-        let gap_s = run.learned_at.map_or(0.0, |time| now.since(time).as_secs_f64());
+        let since_last_report_s = run.learned_at.map_or(0.0, |time| now.since(time).as_secs_f64());
         run.learned_at = Some(now);
-        let tail =
-            Tail { tail_ms: f64::from(tail_ms), target_ms: target_ms as f64, gap_s, at: now };
+        let tail = TailReport {
+            tail_ms: f64::from(tail_ms),
+            target_ms: target_ms as f64,
+            since_last_report_s,
+            reported_at: now,
+        };
         tails.learn(run.image, &mut run.own_stress, &loads, tail);
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/headroom.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/headroom.rs
@@ -2,7 +2,7 @@
 
 use super::{
     super::{instance::WorkerInstance, run::PlacedRun},
-    free_capacity::{NEGLIGIBLE_EFFECT, added, full_loads},
+    free_capacity::{NEGLIGIBLE_EFFECT, added_stress, full_speed_loads},
     pace::TARGET_SHARE,
     tails::{ImageNo, TailModel},
 };
@@ -42,7 +42,7 @@
     /// The added stress that the most loaded of these tasks can take.
     spare_stress: f64,
     /// The stress that the best-effort tasks on the worker add, at full speed.
-    added: f64,
+    added_stress: f64,
 }
 
 impl Headroom {
@@ -64,7 +64,7 @@
     ) -> f64 {
         let pace_limit = |serving: &ServingTasks| {
             let effect = tails.effect(image, serving.image);
-            let spare_stress = serving.spare_stress - stress_rise - serving.added;
+            let spare_stress = serving.spare_stress - stress_rise - serving.added_stress;
             if effect < NEGLIGIBLE_EFFECT {
                 1.0
             } else {
@@ -98,7 +98,7 @@
 }
 
 fn task_margins(instance: &WorkerInstance, tails: &TailModel) -> Vec<Margin> {
-    let loads = full_loads(instance);
+    let loads = full_speed_loads(instance);
     let margin = |run: &PlacedRun| {
         let added = loads
             .iter()
@@ -112,7 +112,7 @@
 }
 
 fn serving_by_image(instance: &WorkerInstance, tails: &TailModel) -> Vec<ServingTasks> {
-    let loads = full_loads(instance);
+    let loads = full_speed_loads(instance);
     let mut serving_by_image = Vec::<ServingTasks>::new();
     for run in instance.runs().values().filter(|run| run.is_serving()) {
         let target_ms = run.tail_target_ms.unwrap_or(1) as f64;
@@ -121,8 +121,12 @@
         match serving_by_image.iter_mut().find(|serving| serving.image == run.image) {
             Some(same_image) => same_image.spare_stress = same_image.spare_stress.min(spare_stress),
             None => {
-                let added = added(tails, &loads, run.image);
-                serving_by_image.push(ServingTasks { image: run.image, spare_stress, added });
+                let added_stress = added_stress(tails, &loads, run.image);
+                serving_by_image.push(ServingTasks {
+                    image: run.image,
+                    spare_stress,
+                    added_stress,
+                });
             }
         }
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/inherit.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/inherit.rs
@@ -21,26 +21,26 @@
 
 /// The state that an owner inherits from its predecessor.
 #[derive(Debug, Default)]
-pub struct Inheritance {
+pub struct InheritedState {
     /// Jobs with a persisted specification, each with its progress if that was persisted.
     pub jobs: Vec<(JobRecord, Option<ProgressRecord>)>,
     /// The progress of all other jobs. Ended jobs are remembered; an open job without a readable
     /// specification is ignored.
-    pub ended: Vec<ProgressRecord>,
+    pub ended_progress: Vec<ProgressRecord>,
     /// Worker instances on which tasks may be running.
     pub instances: Vec<InstanceRecord>,
     /// The learned interference between images.
-    pub effects: EffectsRecord,
+    pub interference: EffectsRecord,
     /// How long earlier owners may continue to renew leases.
-    pub leases_renewed_for: Duration,
+    pub earlier_renewal: Duration,
 }
 
 impl Scheduler {
-    pub(super) fn inherit(&mut self, inheritance: Inheritance) {
+    pub(super) fn inherit(&mut self, inheritance: InheritedState) {
         let run_floor = u32::try_from(self.epoch.saturating_sub(1))
             .unwrap_or(u32::MAX / RUN_NUMBERS_PER_EPOCH)
             .saturating_mul(RUN_NUMBERS_PER_EPOCH);
-        self.tails.import(&inheritance.effects);
+        self.tails.import(&inheritance.interference);
         for (record, progress) in inheritance.jobs {
             if let Some(ended) =
                 progress.as_ref().filter(|progress| progress.outcome != Outcome::Open)
@@ -51,8 +51,10 @@
             let job = Job::restore(record, progress, run_floor, self.now, self.unix_ms);
             self.insert_job(job);
         }
-        let ended =
-            inheritance.ended.into_iter().filter(|progress| progress.outcome != Outcome::Open);
+        let ended = inheritance
+            .ended_progress
+            .into_iter()
+            .filter(|progress| progress.outcome != Outcome::Open);
         for ProgressRecord { id, outcome, ended_unix_ms, .. } in ended {
             self.record_ended_job(id, outcome, ended_unix_ms);
         }
@@ -64,7 +66,7 @@
             // off together with an owner.
             let renewed_for = match record.not_leased {
                 true => Duration::ZERO,
-                false => inheritance.leases_renewed_for,
+                false => inheritance.earlier_renewal,
             };
             self.add_inherited_instance(record, starts_here, own_expiry + renewed_for);
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/mod.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/mod.rs
@@ -30,7 +30,7 @@
 mod quarantine;
 mod ranking;
 mod requests;
-mod short_work;
+mod short_tasks;
 mod shrunk;
 mod slowed;
 mod stragglers;
@@ -47,11 +47,11 @@
     time::Duration,
 };
 
-pub use self::inherit::Inheritance;
+pub use self::inherit::InheritedState;
 use self::{
     backlog::StartedTasks, crash_attribution::LostWorker, deferred_starts::DeferredStarts,
-    evacuation::ZoneEvacuation, overload::Overload, pending::Pending, short_work::ShortWork,
-    tails::TailModel,
+    evacuation::ZoneEvacuation, overload::Overload, pending::PendingRecords,
+    short_tasks::ShortTasks, tails::TailModel,
 };
 use super::{
     event::{Action, Event, JobState},
@@ -124,10 +124,10 @@
     lost_workers: Vec<LostWorker>,
     /// The end of the last known store outage, if there was one.
     store_outage_until: Option<Time>,
-    pending: Pending,
+    pending: PendingRecords,
     deferred_starts: DeferredStarts,
     tails: TailModel,
-    short_work: ShortWork,
+    short_tasks: ShortTasks,
     evacuation: ZoneEvacuation,
     overload: Overload,
     start_counts: StartedTasks,
@@ -144,7 +144,7 @@
     pub fn new(
         settings: SchedulerSettings,
         epoch: u64,
-        inheritance: Inheritance,
+        inheritance: InheritedState,
         now: Time,
         unix_ms: u64,
     ) -> Self {
@@ -165,10 +165,10 @@
             inherited_worker_crashed: false,
             lost_workers: Vec::new(),
             store_outage_until: None,
-            pending: Pending::default(),
+            pending: PendingRecords::default(),
             deferred_starts: DeferredStarts::default(),
             tails: TailModel::default(),
-            short_work: ShortWork::default(),
+            short_tasks: ShortTasks::default(),
             evacuation: ZoneEvacuation::default(),
             overload: Overload::default(),
             start_counts: StartedTasks::default(),
@@ -248,7 +248,7 @@
     }
 
     fn insert_job(&mut self, mut job: Job) {
-        let images = job.spec.steps.iter().map(|step| self.tails.number(step.image.as_deref()));
+        let images = job.spec.steps.iter().map(|step| self.tails.image_no(step.image.as_deref()));
         job.images = images.collect();
         let id = job.id;
         self.open_jobs.insert((job.queue.priority, job.due_at, id));
@@ -321,7 +321,7 @@
             self.check_instance(instance_no);
         }
         self.evacuate_zones_if_due();
-        self.tell_backlog_if_due();
+        self.report_backlog_if_due();
         // Back-offs and quarantines end without an event of their own.
         self.placement_needed = true;
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/orders.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/orders.rs
@@ -168,7 +168,7 @@
         if let Some(instance) = self.instances.get_mut(instance_no) {
             instance.unanswered_polls += 1;
             instance.unanswered_since.get_or_insert(self.now);
-            instance.silent_while_owner_on_time |= self.overload.silence_proves();
+            instance.silent_while_owner_on_time |= self.overload.silence_is_conclusive();
         }
     }
 
@@ -187,7 +187,7 @@
         let Some(task) = job.task_mut(name) else { return };
         task.placed.retain(|placed| *placed != placement);
         if task.crashes.begun.take_if(|begun| begun.run == placement.run).is_some() {
-            self.pending.note(name.job);
+            self.pending.record_progress(name.job);
         }
     }
 
@@ -257,7 +257,7 @@
         if let Some(job) = self.jobs.get_mut(&start.task.job) {
             job.has_started = true;
         }
-        self.repace(instance_no);
+        self.update_paces(instance_no);
         self.schedule_poll_within(instance_no, POLL_AFTER_START);
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/overload.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/overload.rs
@@ -87,7 +87,7 @@
     }
 
     /// Returns whether a worker that did not answer in time is silent, rather than the owner late.
-    pub(super) fn silence_proves(&self) -> bool {
+    pub(super) fn silence_is_conclusive(&self) -> bool {
         self.lag < SILENCE_UNCERTAIN_LAG
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/pace.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pace.rs
@@ -12,7 +12,7 @@
         run::{FULL_PACE_PERCENT, PlacedRun},
     },
     Scheduler,
-    free_capacity::{NEGLIGIBLE_EFFECT, full_loads},
+    free_capacity::{NEGLIGIBLE_EFFECT, full_speed_loads},
     gauges,
     tails::{ImageNo, Load, TailModel},
 };
@@ -39,15 +39,15 @@
 
 impl Scheduler {
     /// Learns from the latest report of a worker, and adjusts the pace of its best-effort runs.
-    pub(super) fn control_pace(&mut self, instance_no: InstanceNo) {
+    pub(super) fn learn_and_update_paces(&mut self, instance_no: InstanceNo) {
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
         gauges::learn_interference(&mut self.tails, instance, self.now);
-        self.repace(instance_no);
+        self.update_paces(instance_no);
         self.move_slowed(instance_no);
     }
 
     /// Computes the pace of the best-effort runs on a worker from the current state, and orders it.
-    pub(super) fn repace(&mut self, instance_no: InstanceNo) {
+    pub(super) fn update_paces(&mut self, instance_no: InstanceNo) {
         let now = self.now;
         let Some(instance) = self.instances.get_mut(instance_no) else { return };
         let previous_paces = mem::take(&mut instance.paces);
@@ -106,7 +106,7 @@
 
 /// Returns the pace of each best-effort image with which every serving task stays below its target.
 fn shares(tails: &TailModel, instance: &WorkerInstance, now: Time) -> Shares {
-    let full_loads_by_image = full_loads(instance);
+    let full_loads_by_image = full_speed_loads(instance);
     let mut shares = full_loads_by_image.iter().map(|&(image, _)| (image, 1.0)).collect::<Shares>();
     for run in instance.runs().values().filter(|run| run.is_serving()) {
         let is_cause = |&&(best_effort_image, _): &&Load| {
--- a/crates/kitetrail-core/src/jobs/scheduler/pass.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pass.rs
@@ -55,7 +55,7 @@
     }
 
     /// Records that a step found no room for some of its tasks.
-    pub(super) fn note_no_room(&mut self, spec: StepSpec, lateness: Lateness) {
+    pub(super) fn record_no_room(&mut self, spec: StepSpec, lateness: Lateness) {
         // Room is kept only for short tasks whose jobs can complete in time, however many late ones
         // wait.
         if !spec.best_effort && !spec.long_running && lateness == Lateness::InTime {
--- a/crates/kitetrail-core/src/jobs/scheduler/pending.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pending.rs
@@ -42,7 +42,7 @@
 
 /// The records that wait to be persisted.
 #[derive(Debug, Default)]
-pub(super) struct Pending {
+pub(super) struct PendingRecords {
     new_jobs: UniqueQueue<JobId>,
     /// Jobs that ended. Callers wait for those that they cancelled.
     ended: UniqueQueue<JobId>,
@@ -58,9 +58,9 @@
     pub(super) urgent: bool,
     unpersisted_ends: UnpersistedEnds,
     /// When the learned effects of images were last persisted.
-    pub(super) effects_at: Time,
+    pub(super) effects_persisted_at: Time,
     next_batch: u64,
-    pub(super) sent: Option<Batch>,
+    pub(super) in_flight: Option<Batch>,
     pub(super) last_sent_at: Time,
     /// When the last persisted batch was sent. Its commit proves that this owner owned the fleet at
     /// some moment since.
@@ -85,17 +85,17 @@
 
 /// The records taken for one batch.
 #[derive(Debug)]
-pub(super) struct Taken {
+pub(super) struct BatchRecords {
     pub(super) new_jobs: Vec<JobId>,
     pub(super) instances: Vec<InstanceNo>,
     pub(super) progress: Vec<JobId>,
     pub(super) ended_instances: Vec<InstanceKey>,
-    pub(super) forgotten: Vec<JobId>,
+    pub(super) jobs_to_delete: Vec<JobId>,
     /// Whether no other records wait to be persisted.
     pub(super) complete: bool,
 }
 
-impl Pending {
+impl PendingRecords {
     /// Takes as many records as fit into a batch, the most urgent first.
     ///
     /// `encoded_bytes` returns the size of a new job in the batch, and `has_ended` whether a job is
@@ -104,7 +104,7 @@
         &mut self,
         encoded_bytes: impl Fn(JobId) -> usize,
         has_ended: impl Fn(JobId) -> bool,
-    ) -> Taken {
+    ) -> BatchRecords {
         let reserved_for_ended = (self.ended.len() * ENDED_JOB_ENTRIES).min(RESERVED_ENTRIES);
         let reserved_for_progress = self.progress.len().min(RESERVED_ENTRIES);
         let mut room = MAX_BATCH_ENTRIES;
@@ -121,13 +121,13 @@
         progress.extend(self.take_ended(&mut room, reserved_for_progress));
         progress.extend(self.take_progress(&mut room, has_ended));
         let ended_instances = take_first(&mut self.ended_workers, &mut room, 0);
-        let forgotten = take_first(&mut self.jobs_to_delete, &mut room, 0);
-        Taken {
+        let jobs_to_delete = take_first(&mut self.jobs_to_delete, &mut room, 0);
+        BatchRecords {
             new_jobs,
             instances,
             progress,
             ended_instances,
-            forgotten,
+            jobs_to_delete,
             complete: self.is_empty(),
         }
     }
@@ -178,12 +178,12 @@
     }
 
     /// Records that a batch is sent, and returns its number.
-    pub(super) fn note_sent(&mut self, batch: impl FnOnce(u64) -> Batch, now: Time) -> u64 {
+    pub(super) fn record_sent(&mut self, batch: impl FnOnce(u64) -> Batch, now: Time) -> u64 {
         let number = self.next_batch;
         self.next_batch += 1;
         self.last_sent_at = now;
         self.confirmation_wanted = false;
-        self.sent = Some(batch(number));
+        self.in_flight = Some(batch(number));
         number
     }
 
@@ -194,7 +194,7 @@
 
     /// Requests a batch sent at or after `moment`, unless one is in flight.
     pub(super) fn want_confirmation_since(&mut self, moment: Time) {
-        let in_flight = self.sent.is_some() && self.last_sent_at >= moment;
+        let in_flight = self.in_flight.is_some() && self.last_sent_at >= moment;
         self.confirmation_wanted |= !in_flight;
     }
 
@@ -204,29 +204,29 @@
     }
 
     /// Records new progress of a job, to be persisted soon.
-    pub(super) fn note(&mut self, id: JobId) {
+    pub(super) fn record_progress(&mut self, id: JobId) {
         self.progress.push(id, self.unpersisted_ends.last_seq());
     }
 
     /// Records that a start of the job waits until it is persisted.
-    pub(super) fn note_soon(&mut self, id: JobId) {
-        self.note(id);
+    pub(super) fn record_start(&mut self, id: JobId) {
+        self.record_progress(id);
         self.urgent = true;
     }
 
     /// Records that the job ended, to be persisted without delay.
-    pub(super) fn note_urgent(&mut self, id: JobId) {
+    pub(super) fn record_job_ended(&mut self, id: JobId) {
         self.ended.push(id, self.unpersisted_ends.last_seq());
         self.urgent = true;
     }
 
-    pub(super) fn forget(&mut self, id: JobId) {
+    pub(super) fn delete_job(&mut self, id: JobId) {
         self.jobs_to_delete.insert(id);
     }
 
     /// Keeps a job that was about to be deleted and is submitted again: its row is overwritten
     /// instead.
-    pub(super) fn keep_forgotten(&mut self, id: JobId) {
+    pub(super) fn cancel_deletion(&mut self, id: JobId) {
         if self.jobs_to_delete.remove(&id) {
             self.progress.push(id, self.unpersisted_ends.last_seq());
         }
@@ -246,22 +246,22 @@
         &mut self,
         instance_no: InstanceNo,
         key: InstanceKey,
-        is_kept: bool,
+        is_persisted: bool,
     ) {
-        if !self.new_workers.remove(&instance_no) || is_kept {
+        if !self.new_workers.remove(&instance_no) || is_persisted {
             self.ended_workers.insert(key);
         }
     }
 
     /// Records an end that a worker reported, before the records that it changes.
-    pub(super) fn note_end(&mut self, instance_no: InstanceNo, number: u64) {
+    pub(super) fn record_end(&mut self, instance_no: InstanceNo, number: u64) {
         self.unpersisted_ends.push(instance_no, number);
     }
 
     /// Takes out the ends whose changes are all persisted, while no batch is in flight.
-    pub(super) fn take_kept_ends(&mut self) -> Vec<ReportedEnd> {
+    pub(super) fn take_persisted_ends(&mut self) -> Vec<ReportedEnd> {
         debug_assert!(
-            self.sent.is_none(),
+            self.in_flight.is_none(),
             "the changes of a batch in flight are not persisted yet"
         );
         let oldest = self.ended.oldest().into_iter().chain(self.progress.oldest()).min();
@@ -270,12 +270,12 @@
 
     /// Returns how long ago the batch in flight was sent, if there is one.
     pub(super) fn sent_ago(&self, now: Time) -> Option<Duration> {
-        self.sent.as_ref().map(|_| now.since(self.last_sent_at))
+        self.in_flight.as_ref().map(|_| now.since(self.last_sent_at))
     }
 
     /// Takes out the batch in flight, which is persisted, if it has the given number.
     pub(super) fn take_sent(&mut self, number: u64, now: Time) -> Option<Batch> {
-        let batch = self.sent.take_if(|batch| batch.number == number)?;
+        let batch = self.in_flight.take_if(|batch| batch.number == number)?;
         self.last_batch_time = now.since(self.last_sent_at);
         self.confirmed_since = Some(self.last_sent_at);
         self.last_persisted_at = now;
@@ -287,7 +287,7 @@
     /// The time of the last batch counts only for as long again: an idle fleet sends no other batch
     /// that could show that the store has recovered, and would refuse all jobs from then on.
     fn expected_batch_time(&self, now: Time) -> Duration {
-        let next_at = if self.sent.is_some() { self.last_sent_at } else { now };
+        let next_at = if self.in_flight.is_some() { self.last_sent_at } else { now };
         let is_current = next_at.since(self.last_persisted_at) < self.last_batch_time;
         let batch_time = if is_current { self.last_batch_time } else { Duration::ZERO };
         batch_time.max(self.sent_ago(now).unwrap_or_default())
@@ -298,7 +298,7 @@
     ///
     /// This covers a slow store as well as an owner whose batches wait for processor time: callers
     /// would give up without an answer, and their jobs would run for nobody.
-    pub(super) fn keeps_too_late(&self, lag: Duration, now: Time) -> bool {
+    pub(super) fn would_persist_too_late(&self, lag: Duration, now: Time) -> bool {
         let in_flight = self.sent_ago(now);
         let batch_time = self.expected_batch_time(now);
         let wait_for_in_flight =
@@ -308,7 +308,7 @@
     }
 
     /// Returns whether the store has not answered a batch for too long.
-    pub(super) fn is_stuck(&self, now: Time) -> bool {
+    pub(super) fn is_store_stuck(&self, now: Time) -> bool {
         self.sent_ago(now).is_some_and(|sent_ago| sent_ago >= STORE_STUCK_AFTER)
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/place.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/place.rs
@@ -31,7 +31,7 @@
         for id in self.waiting_jobs() {
             self.place_job(id, &mut pass);
         }
-        self.update_short_work_need(pass.short_waiting);
+        self.update_short_task_need(pass.short_waiting);
     }
 
     /// Returns the jobs that may have waiting tasks, in the order in which they are placed.
@@ -68,7 +68,7 @@
             match spec.gang {
                 true => self.place_gang(step, &spec, pass),
                 false if self.place_step(step, &spec, pass) => {}
-                false => pass.note_no_room(spec, lateness),
+                false => pass.record_no_room(spec, lateness),
             }
         }
     }
@@ -164,7 +164,7 @@
             runs_alone: job.task(name).is_some_and(|task| task.crashes.runs_alone()),
             lateness: Lateness::of(job, self.now),
             tails: &self.tails,
-            short_work: &self.short_work,
+            short_tasks: &self.short_tasks,
         })
     }
 
@@ -205,7 +205,7 @@
         let checkpoint = tasks.iter().find_map(|task| task.checkpoint.clone());
         let mut chosen = Vec::new();
         for index in 0..spec.count {
-            match self.choose(step.task(index), spec, &chosen) {
+            match self.choose_worker(step.task(index), spec, &chosen) {
                 Some(instance_no) => chosen.push(instance_no),
                 None => return,
             }
@@ -232,7 +232,7 @@
     }
 
     /// Returns the best worker for a task, beside gang members whose workers are chosen already.
-    pub(super) fn choose(
+    pub(super) fn choose_worker(
         &mut self,
         name: TaskName,
         spec: &StepSpec,
@@ -280,7 +280,7 @@
             last_answer_age_ms: instance.last_answer_age_ms(self.now),
         }));
         if !spec.best_effort && !spec.long_running {
-            self.short_work.record_size(spec.size.cpu_millis.0);
+            self.short_tasks.record_size(spec.size.cpu_millis.0);
         }
         let phase = if persist_first { Phase::Unpersisted } else { Phase::Ordered };
         let new_run = PlacedRun::new(run, spec, image, self.now);
--- a/crates/kitetrail-core/src/jobs/scheduler/poll_answers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/poll_answers.rs
@@ -76,7 +76,7 @@
             self.log_worker_state(instance_no, "silent");
         }
         self.raise_token_after_silence(instance_no);
-        self.copy_from_silent(instance_no);
+        self.copy_runs_of_silent_worker(instance_no);
     }
 
     fn handle_report(
@@ -119,7 +119,7 @@
         self.reconcile_missing(instance_no, poll, sent_at, report);
         self.check_suspects(instance_no);
         self.check_progress(instance_no);
-        self.control_pace(instance_no);
+        self.learn_and_update_paces(instance_no);
         if first {
             self.placement_needed = true;
         }
@@ -151,7 +151,7 @@
             let runs = report.running.iter().any(|running| running.task == name);
             let Some(task) = self.task_mut(name).filter(|_| !runs) else { continue };
             task.crashes.begun = None;
-            self.pending.note(name.job);
+            self.pending.record_progress(name.job);
         }
     }
 
@@ -211,7 +211,7 @@
     /// Returns the image of a task, or the unnamed image if its job is unknown.
     fn image_of(&mut self, name: TaskName) -> ImageNo {
         let known = self.jobs.get(&name.job).and_then(|job| job.images.get(name.step as usize));
-        known.copied().unwrap_or_else(|| self.tails.number(None))
+        known.copied().unwrap_or_else(|| self.tails.image_no(None))
     }
 
     /// Drops runs that the scheduler expects on a worker but the worker does not report.
--- a/crates/kitetrail-core/src/jobs/scheduler/requests.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/requests.rs
@@ -44,7 +44,7 @@
                 job.submit_waiters.push(request);
                 self.insert_job(job);
                 self.pending.add_job(id);
-                self.pending.keep_forgotten(id);
+                self.pending.cancel_deletion(id);
             }
         }
     }
@@ -52,7 +52,7 @@
     /// Returns whether a new job can be accepted, so that its caller is answered in time.
     fn accepts_jobs(&self) -> bool {
         let lag = self.overload.lag();
-        self.overload.accepts_jobs() && !self.pending.keeps_too_late(lag, self.now)
+        self.overload.accepts_jobs() && !self.pending.would_persist_too_late(lag, self.now)
     }
 
     /// Cancels a job. The caller is answered once that is persisted.
@@ -102,7 +102,7 @@
             after_ms: self.now.since(job.accepted_at).as_millis() as u64,
             objective_ms: job.objective_ms(),
         }));
-        self.pending.note_urgent(id);
+        self.pending.record_job_ended(id);
         self.clear_zone_checks(id);
         // All runs of a completed job have ended or are already being stopped.
         if outcome != Outcome::Completed {
@@ -112,7 +112,7 @@
 
     /// Refuses jobs that were not sent to the store yet if the store does not answer.
     pub(super) fn refuse_unsent_jobs(&mut self) {
-        if !self.pending.is_stuck(self.now) {
+        if !self.pending.is_store_stuck(self.now) {
             return;
         }
         for id in self.pending.take_unsent() {
@@ -147,7 +147,7 @@
         {
             self.ended_by_time.pop_first();
             self.ended_jobs.remove(&id);
-            self.pending.forget(id);
+            self.pending.delete_job(id);
         }
     }
 
--- a/crates/kitetrail-core/src/jobs/scheduler/short_work.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/short_tasks.rs
@@ -27,7 +27,7 @@
 
 /// The observed need of short tasks: those that end by themselves and reserve processor time.
 #[derive(Debug, Default)]
-pub(super) struct ShortWork {
+pub(super) struct ShortTasks {
     /// The typical processor time of a task, in thousandths of a core; 0 before any was observed.
     typical_millis: f64,
     /// The average number of running and waiting tasks.
@@ -40,7 +40,7 @@
     averaged_at: Time,
 }
 
-impl ShortWork {
+impl ShortTasks {
     /// Records the size of a task that starts.
     pub(super) fn record_size(&mut self, cpu_millis: u32) {
         let size = f64::from(cpu_millis);
@@ -57,7 +57,7 @@
     }
 
     /// Returns whether short tasks waited in the last pass.
-    pub(super) fn waits(&self) -> bool {
+    pub(super) fn has_waiting_tasks(&self) -> bool {
         self.waiting > 0
     }
 
@@ -77,7 +77,7 @@
 
 impl Scheduler {
     /// Updates the need of short tasks after a placement pass.
-    pub(super) fn update_short_work_need(&mut self, waiting: u32) {
+    pub(super) fn update_short_task_need(&mut self, waiting: u32) {
         self.refresh_rooms();
         let (mut running, mut total_millis) = (0, 0.0);
         for instance in self.instances.values() {
@@ -87,9 +87,9 @@
                 .map_or(0, |free_capacity| free_capacity.short_tasks);
             total_millis += capacity_millis(instance);
         }
-        self.short_work.update_need(running + waiting, self.now);
-        self.short_work.waiting = waiting;
-        self.short_work.capacity_millis = total_millis / self.instances.len().max(1) as f64;
+        self.short_tasks.update_need(running + waiting, self.now);
+        self.short_tasks.waiting = waiting;
+        self.short_tasks.capacity_millis = total_millis / self.instances.len().max(1) as f64;
     }
 
     /// Returns whether a long-running task that never ran waits so that short tasks find room.
@@ -99,7 +99,7 @@
     pub(super) fn is_held_back(&mut self, name: TaskName, spec: &StepSpec) -> bool {
         let Some(job) = self.jobs.get(&name.job) else { return false };
         let is_new = job.task(name).is_some_and(|task| task.last_run == 0);
-        if !spec.long_running || !is_new || self.short_work.average_tasks < MIN_NEED {
+        if !spec.long_running || !is_new || self.short_tasks.average_tasks < MIN_NEED {
             return false;
         }
         let accepted_at = job.accepted_at;
@@ -110,8 +110,8 @@
 
     /// Returns whether a long-running task would take room that short tasks need, wherever it were
     /// placed.
-    pub(super) fn takes_room_of_short_work(&mut self, spec: &StepSpec) -> bool {
-        let is_relevant = spec.long_running && self.short_work.average_tasks >= MIN_NEED;
+    pub(super) fn takes_capacity_of_short_tasks(&mut self, spec: &StepSpec) -> bool {
+        let is_relevant = spec.long_running && self.short_tasks.average_tasks >= MIN_NEED;
         is_relevant && self.scarcity_and_places(spec.size.cpu_millis.0).0
     }
 
@@ -119,9 +119,9 @@
     /// placed, and how many such tasks find room.
     fn scarcity_and_places(&mut self, cpu_millis: u32) -> (bool, u32) {
         let (slots, places) = self.short_slots_and_places(cpu_millis);
-        let taken_slots = self.short_work.slots_in(cpu_millis);
+        let taken_slots = self.short_tasks.slots_in(cpu_millis);
         let remaining_slots = f64::from(slots) - f64::from(taken_slots);
-        (remaining_slots < RESERVE_FACTOR * self.short_work.average_tasks, places)
+        (remaining_slots < RESERVE_FACTOR * self.short_tasks.average_tasks, places)
     }
 
     /// Returns how many short tasks the fleet has room for, including the running ones, and how
@@ -132,7 +132,7 @@
         for instance in self.instances.values().filter(|instance| instance.accepts_work(self.now)) {
             let Some(free_capacity) = &instance.free_capacity else { continue };
             let free_millis = free_capacity.free.free.cpu_millis.0;
-            slots += self.short_work.slots_in(free_millis) + free_capacity.short_tasks;
+            slots += self.short_tasks.slots_in(free_millis) + free_capacity.short_tasks;
             places += free_millis / cpu_millis.max(1);
         }
         (slots, places)
--- a/crates/kitetrail-core/src/jobs/scheduler/shrunk.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/shrunk.rs
@@ -13,7 +13,7 @@
 impl Scheduler {
     /// Takes back unsent starts, the last ones first, until the rest fits into the worker's
     /// capacity.
-    pub(super) fn take_back_unfit(&mut self, instance_no: InstanceNo) {
+    pub(super) fn cancel_excess_starts(&mut self, instance_no: InstanceNo) {
         while let Some((task, run)) = self.last_unfit_start(instance_no) {
             if let Some(instance) = self.instances.get_mut(instance_no) {
                 instance.orders.retain(|order| {
--- a/crates/kitetrail-core/src/jobs/scheduler/slowed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/slowed.rs
@@ -37,7 +37,7 @@
         let runs = runs.map(|(&task, run)| (task, run.run)).take(MAX_MOVES_PER_REPORT);
         for (task, run) in runs.collect::<Vec<_>>() {
             let Some(spec) = self.step_spec(task).cloned() else { continue };
-            let better_worker = self.choose(task, &spec, &[]).filter(|&other| other != from);
+            let better_worker = self.choose_worker(task, &spec, &[]).filter(|&other| other != from);
             let pace = better_worker.and_then(|other| self.expected_pace(other, task, &spec));
             if pace.is_some_and(|pace| pace >= MIN_PACE_TO_MOVE) {
                 self.avoid(task, from);
--- a/crates/kitetrail-core/src/jobs/scheduler/stragglers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/stragglers.rs
@@ -77,7 +77,7 @@
     }
 
     /// Starts copies of the runs on a silent worker that may be copied.
-    pub(super) fn copy_from_silent(&mut self, instance_no: InstanceNo) {
+    pub(super) fn copy_runs_of_silent_worker(&mut self, instance_no: InstanceNo) {
         let Some(instance) = self.instances.get(instance_no) else { return };
         for task in instance.runs().keys().copied().collect::<Vec<_>>() {
             if self.step_spec(task).is_some_and(|step| step.copies_allowed) {
@@ -94,10 +94,10 @@
         let (Some(run), Some(expected_ms)) = (run, expected_ms) else { return false };
         let Some(total_ms) = predicted_total_ms(run, self.now) else { return false };
         let elapsed_ms = elapsed_ms(run, self.now).unwrap_or(0.0);
-        let left_ms = left_ms(run, self.now).unwrap_or(0.0);
+        let remaining_ms = remaining_ms(run, self.now).unwrap_or(0.0);
         elapsed_ms > expected_ms * OVERDUE_FACTOR
             && total_ms > expected_ms * SLOW_FACTOR
-            && left_ms > expected_ms * RESTART_FACTOR
+            && remaining_ms > expected_ms * RESTART_FACTOR
     }
 
     /// Returns the expected duration of a task, averaged over the completed ones of its step, in
@@ -131,8 +131,9 @@
         if problem == Problem::Slow && self.task_mut(task).is_some_and(was_moved_enough) {
             return;
         }
-        let other_worker =
-            self.choose(task, &spec, &[]).filter(|&other_worker| other_worker != instance_no);
+        let other_worker = self
+            .choose_worker(task, &spec, &[])
+            .filter(|&other_worker| other_worker != instance_no);
         let run = self
             .instances
             .get(instance_no)
@@ -161,7 +162,7 @@
         }
         self.avoid(name, instance_no);
         if let Some(other_worker) =
-            self.choose(name, &spec, &[]).filter(|&other_worker| other_worker != instance_no)
+            self.choose_worker(name, &spec, &[]).filter(|&other_worker| other_worker != instance_no)
         {
             self.start(name, other_worker, &spec, None);
         }
@@ -200,7 +201,7 @@
 }
 
 /// Returns how long a run will still take at its present speed, in milliseconds.
-pub(super) fn left_ms(run: &PlacedRun, now: Time) -> Option<f64> {
+pub(super) fn remaining_ms(run: &PlacedRun, now: Time) -> Option<f64> {
     let total_ms = predicted_total_ms(run, now)?;
     Some(total_ms * f64::from(100 - run.percent.min(100)) / 100.0)
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/tails.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/tails.rs
@@ -39,13 +39,13 @@
 
 /// A reported tail latency of a serving task.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Tail {
+pub(super) struct TailReport {
     pub(super) tail_ms: f64,
     pub(super) target_ms: f64,
     /// The time since the last report, in seconds.
-    pub(super) gap_s: f64,
+    pub(super) since_last_report_s: f64,
     /// When the report arrived.
-    pub(super) at: Time,
+    pub(super) reported_at: Time,
 }
 
 /// The learned state of all pairs of images.
@@ -60,7 +60,7 @@
 
 impl TailModel {
     /// Returns the number of an image. All tasks without an image share the empty name.
-    pub(super) fn number(&mut self, image: Option<&str>) -> ImageNo {
+    pub(super) fn image_no(&mut self, image: Option<&str>) -> ImageNo {
         let name = image.unwrap_or("");
         if let Some(&number) = self.numbers.get(name) {
             return number;
@@ -92,10 +92,10 @@
     /// Takes over the effects that an earlier owner learned.
     pub(super) fn import(&mut self, record: &EffectsRecord) {
         for serving in &record.serving {
-            let serving_image = self.number(Some(&serving.image));
+            let serving_image = self.image_no(Some(&serving.image));
             for (best_effort_image, effect) in &serving.effects {
-                let best_effort_image = self.number(Some(best_effort_image));
-                self.note_best_effort_image(best_effort_image);
+                let best_effort_image = self.image_no(Some(best_effort_image));
+                self.record_best_effort_image(best_effort_image);
                 let Some(image) = self.images.get_mut(serving_image.index()) else { continue };
                 image.lowest_ms = Some(serving.lowest_tail_ms);
                 image.import(best_effort_image, *effect);
@@ -138,22 +138,22 @@
         serving_image: ImageNo,
         own: &mut Estimate,
         loads: &[Load],
-        tail: Tail,
+        tail: TailReport,
     ) {
         for &(best_effort_image, _) in loads {
-            self.note_best_effort_image(best_effort_image);
+            self.record_best_effort_image(best_effort_image);
         }
         let Some(image) = self.images.get_mut(serving_image.index()) else { return };
         let tail_ms = tail.tail_ms.max(1.0);
         image.lowest_ms = Some(image.lowest_ms.unwrap_or(tail_ms).min(tail_ms));
         let unloaded_tail_ms = unloaded_tail_ms(image.lowest_ms, tail.target_ms);
         let stress = (1.0 - unloaded_tail_ms / tail_ms).clamp(0.0, MAX_STRESS);
-        own.drift(tail.gap_s);
-        image.drift(tail.at);
+        own.drift(tail.since_last_report_s);
+        image.drift(tail.reported_at);
         image.learn(own, loads, stress);
     }
 
-    fn note_best_effort_image(&mut self, best_effort_image: ImageNo) {
+    fn record_best_effort_image(&mut self, best_effort_image: ImageNo) {
         if !self.best_effort_images.contains(&best_effort_image) {
             self.best_effort_images.push(best_effort_image);
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/workers.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/workers.rs
@@ -129,7 +129,9 @@
         let runs = instance.runs().iter().filter(|(_, run)| must_move(run));
         for (task, run) in runs.map(|(&task, run)| (task, run.run)).collect::<Vec<_>>() {
             let Some(spec) = self.step_spec(task).cloned() else { continue };
-            if self.may_move_run(instance_no, task) && self.choose(task, &spec, &[]).is_some() {
+            if self.may_move_run(instance_no, task)
+                && self.choose_worker(task, &spec, &[]).is_some()
+            {
                 self.move_run(instance_no, task, run, "moved: its worker is leaving");
             }
         }
@@ -161,10 +163,10 @@
         instance.listing = Listing::Listed;
         instance.entry = Arc::new(entry);
         instance.free_capacity = None;
-        self.instances.note_listed(instance_no);
+        self.instances.record_listed(instance_no);
         self.update_zone_status(instance_no);
         if shrank {
-            self.take_back_unfit(instance_no);
+            self.cancel_excess_starts(instance_no);
         }
         if let Some(state) = state {
             self.log_worker_state(instance_no, state);
--- a/crates/kitetrail-core/tests/fleet/mod.rs
+++ b/crates/kitetrail-core/tests/fleet/mod.rs
@@ -19,7 +19,7 @@
 use kitetrail_core::{
     Time,
     jobs::{
-        Action, EffectsRecord, Event, Inheritance, InstanceNo, InstanceRecord, JobId, JobRecord,
+        Action, EffectsRecord, Event, InheritedState, InstanceNo, InstanceRecord, JobId, JobRecord,
         JobRequestId, JobSpec, JobState, LogEntry, Order, OrderAnswer, Outcome, Poll, PollFailure,
         ProgressRecord, Record, RunResult, Scheduler, SubmitAnswer, TaskName, WorkerEntry,
     },
@@ -122,7 +122,7 @@
         let by_id = |worker: FakeWorker| (worker.entry.id.to_string(), worker);
         let mut world = Self {
             now: Time::from_ms(1_000),
-            scheduler: scheduler(1, Inheritance::default(), Time::from_ms(1_000)),
+            scheduler: scheduler(1, InheritedState::default(), Time::from_ms(1_000)),
             workers: workers.into_iter().map(by_id).collect(),
             log_entries: Vec::new(),
             answers: Vec::new(),
--- a/crates/kitetrail-core/tests/fleet/owners.rs
+++ b/crates/kitetrail-core/tests/fleet/owners.rs
@@ -4,7 +4,7 @@
 
 use kitetrail_core::{
     Time,
-    jobs::{Event, Inheritance, JobRecord, Record, Scheduler, SchedulerSettings},
+    jobs::{Event, InheritedState, JobRecord, Record, Scheduler, SchedulerSettings},
 };
 
 use super::{DAY_UNIX_MS, World};
@@ -34,7 +34,7 @@
             worker.open_poll = None;
             worker.earlier_polls.clear();
         }
-        let leases_renewed_for = match earlier_owners_stopped {
+        let earlier_renewal = match earlier_owners_stopped {
             true => Duration::ZERO,
             false => MAX_RENEWAL_WITHOUT_STORE,
         };
@@ -45,12 +45,12 @@
             .values()
             .filter(|progress| !self.jobs.contains_key(&progress.id))
             .cloned();
-        let inheritance = Inheritance {
+        let inheritance = InheritedState {
             jobs: self.jobs.values().map(job_with_progress).collect(),
-            ended: ended.collect(),
+            ended_progress: ended.collect(),
             instances: self.instances.values().cloned().collect(),
-            effects: self.effects.clone(),
-            leases_renewed_for,
+            interference: self.effects.clone(),
+            earlier_renewal,
         };
         self.scheduler = scheduler(epoch, inheritance, self.now);
     }
@@ -85,7 +85,7 @@
 }
 
 /// Creates the scheduler of an owner.
-pub(super) fn scheduler(epoch: u64, inheritance: Inheritance, now: Time) -> Scheduler {
+pub(super) fn scheduler(epoch: u64, inheritance: InheritedState, now: Time) -> Scheduler {
     let settings = SchedulerSettings {
         max_lease: Duration::from_secs(6),
         ended_job_retention: Duration::from_secs(120),
--- a/crates/kitetraild/src/fleet/takeover.rs
+++ b/crates/kitetraild/src/fleet/takeover.rs
@@ -9,7 +9,7 @@
 
 use kitetrail_core::{
     Time,
-    jobs::{EffectsRecord, Inheritance, Outcome, ProgressRecord, Scheduler, SchedulerSettings},
+    jobs::{EffectsRecord, InheritedState, Outcome, ProgressRecord, Scheduler, SchedulerSettings},
     succession::{BoxStrength, EarlierOwners},
 };
 use kitetrail_platform::{
@@ -86,7 +86,7 @@
 
 /// Reads the state that the previous owner left, retrying until it succeeds. Returns `None` if this
 /// box is stopping.
-async fn load_with_retries<P: Platform>(shared: &Rc<Shared<P>>) -> Option<Inheritance> {
+async fn load_with_retries<P: Platform>(shared: &Rc<Shared<P>>) -> Option<InheritedState> {
     loop {
         match load(shared).await {
             Ok(inheritance) => return Some(inheritance),
@@ -126,10 +126,10 @@
     let mut committer = task::spawn_local(committer.run(to_write));
     let ended = match load_inheritance(shared).await {
         Some(mut inheritance) => {
-            inheritance.leases_renewed_for = earlier_owners.get().may_renew_for(shared.clock.now());
+            inheritance.earlier_renewal = earlier_owners.get().may_renew_for(shared.clock.now());
             log::info!(
-                epoch = row.epoch, jobs = inheritance.jobs.len(), ended = inheritance.ended.len(), lives = inheritance.instances.len(),
-                earlier_renew_for_ms = inheritance.leases_renewed_for.as_millis() as u64, after_ms = started.elapsed().as_millis() as u64;
+                epoch = row.epoch, jobs = inheritance.jobs.len(), ended = inheritance.ended_progress.len(), lives = inheritance.instances.len(),
+                earlier_renew_for_ms = inheritance.earlier_renewal.as_millis() as u64, after_ms = started.elapsed().as_millis() as u64;
                 "owner: owns the fleet"
             );
             let watch =
@@ -167,7 +167,7 @@
 
 /// Loads the state that the previous owner left and waits until the evacuated zones are known.
 /// Returns `None` if this box is stopping.
-async fn load_inheritance<P: Platform>(shared: &Rc<Shared<P>>) -> Option<Inheritance> {
+async fn load_inheritance<P: Platform>(shared: &Rc<Shared<P>>) -> Option<InheritedState> {
     let inheritance = load_with_retries(shared).await?;
     evacuation::wait_until_known(shared).await.then_some(inheritance)
 }
@@ -176,7 +176,7 @@
 async fn run_scheduler<P: Platform>(
     shared: &Rc<Shared<P>>,
     row: &OwnerRow,
-    inheritance: Inheritance,
+    inheritance: InheritedState,
     (sender, inbox): (mpsc::Sender<OwnerMessage>, mpsc::Receiver<OwnerMessage>),
     batches: mpsc::Sender<Batch>,
 ) -> OwnershipEnd {
@@ -215,7 +215,7 @@
 fn new_scheduler<P: Platform>(
     shared: &Rc<Shared<P>>,
     epoch: u64,
-    inheritance: Inheritance,
+    inheritance: InheritedState,
 ) -> Scheduler {
     let settings = SchedulerSettings {
         max_lease: shared.settings.max_lease,
@@ -310,22 +310,23 @@
 }
 
 /// Reads the state that the previous owner left.
-async fn load<P: Platform>(shared: &Rc<Shared<P>>) -> Result<Inheritance, PlatformError> {
+async fn load<P: Platform>(shared: &Rc<Shared<P>>) -> Result<InheritedState, PlatformError> {
     // Read one table after the other, since they share the box's link.
     let instances = scan::read_table(shared, rows::INCARNATIONS_TABLE).await?;
     let progress = scan::read_table(shared, rows::PROGRESS_TABLE).await?;
     let jobs = scan::read_table(shared, rows::JOBS_TABLE).await?;
     let mut progress = rows::decode_all::<ProgressRecord>(&progress);
-    let mut inheritance = Inheritance {
-        effects: load_effects(shared).await?,
+    let mut inheritance = InheritedState {
+        interference: load_effects(shared).await?,
         instances: rows::decode_all(&instances).into_values().collect(),
-        ..Inheritance::default()
+        ..InheritedState::default()
     };
     for (key, job) in rows::decode_all(&jobs) {
         inheritance.jobs.push((job, progress.remove(&key)));
     }
-    inheritance.ended = progress.into_values().collect();
-    for unreadable in inheritance.ended.iter().filter(|progress| progress.outcome == Outcome::Open)
+    inheritance.ended_progress = progress.into_values().collect();
+    for unreadable in
+        inheritance.ended_progress.iter().filter(|progress| progress.outcome == Outcome::Open)
     {
         log::error!(
             job = unreadable.id.to_string();
