--- a/crates/kitetraild/src/fleet/calls.rs
+++ b/crates/kitetraild/src/fleet/calls.rs
@@ -108,13 +108,13 @@
     call: &Call,
     timeout: Duration,
 ) -> Answer {
-    let local = shared.local_owner.borrow().clone();
+    let local = shared.owner_inbox.borrow().clone();
     let owner = shared.owner();
     match (local, owner.address) {
         (Some(owner), _) => call_local_owner(owner, call.clone(), timeout).await,
         (None, Some(address)) if address != shared.settings.listen.peers => {
             let (answer, view) = shared.peers.call(address, call, timeout).await;
-            shared.note_told_view(view);
+            shared.record_reported_view(view);
             answer
         }
         _ => Answer::NotRun,
@@ -158,16 +158,16 @@
 /// Returns a job's state from the store, `None` if the store can't be read.
 async fn read_state_from_store<P: Platform>(shared: &Rc<Shared<P>>, job: JobId) -> Option<Answer> {
     let name = job.to_string();
-    let progress = read_row(shared, &rows::progress_row(&name)).await?;
+    let progress = read_row(shared, &rows::progress_row_name(&name)).await?;
     if let Some(progress) = progress {
         return state_from_progress(&progress);
     }
-    if read_row(shared, &rows::job_row(&name)).await?.is_some() {
+    if read_row(shared, &rows::job_row_name(&name)).await?.is_some() {
         return Some(Answer::State(JobState::Queued));
     }
     // The job may have ended between the two reads: its progress row is written as its job row
     // is deleted.
-    match read_row(shared, &rows::progress_row(&name)).await? {
+    match read_row(shared, &rows::progress_row_name(&name)).await? {
         Some(progress) => state_from_progress(&progress),
         None => {
             log::info!(job = name, epoch = shared.owner().epoch; "job: unknown to the store");
@@ -182,7 +182,7 @@
     name: &RowName,
 ) -> Option<Option<StoredRow>> {
     let row = shared.services.store.read(name).await;
-    shared.note_store(&row);
+    shared.record_store_result(&row);
     row.ok()
 }
 
--- a/crates/kitetraild/src/fleet/committer.rs
+++ b/crates/kitetraild/src/fleet/committer.rs
@@ -154,7 +154,7 @@
         let mut refused = 0;
         loop {
             let answer = self.transact(&transaction).await;
-            self.shared.note_store(&answer);
+            self.shared.record_store_result(&answer);
             match answer {
                 Ok(answer) if self.record_answer(&answer, head) => return Ok(()),
                 Ok(_) => return Err(WriteFailure::AnotherOwner),
@@ -263,8 +263,8 @@
         records: &[Record],
     ) -> Result<RowTransaction, serde_json::Error> {
         let mut transaction = RowTransaction::default();
-        transaction.expected.push((rows::head_row(), self.head_version));
-        transaction.puts.push((rows::head_row(), serde_json::to_vec(&head)?));
+        transaction.expected.push((rows::head_row_name(), self.head_version));
+        transaction.puts.push((rows::head_row_name(), serde_json::to_vec(&head)?));
         for record in records {
             rows::add_record(&mut transaction, record)?;
         }
--- a/crates/kitetraild/src/fleet/config_watch.rs
+++ b/crates/kitetraild/src/fleet/config_watch.rs
@@ -6,7 +6,7 @@
 use kitetrail_platform::fleet::{OperatorRows, OperatorSource};
 use tokio::time;
 
-use super::{Platform, evacuation::Source, shared::Shared};
+use super::{Platform, evacuation::EvacuationSource, shared::Shared};
 
 /// The delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
@@ -29,30 +29,30 @@
 async fn read_rows<P: Platform>(shared: &Rc<Shared<P>>) -> Option<u64> {
     let requested_at = shared.clock.now();
     let rows = shared.services.store.operator_rows().await;
-    shared.note_store(&rows);
-    Some(apply(shared, Source::List, rows.ok()?, requested_at))
+    shared.record_store_result(&rows);
+    Some(apply(shared, EvacuationSource::List, rows.ok()?, requested_at))
 }
 
 /// Waits for changes after a version. Returns the version to watch from, `None` to read all rows again.
 async fn watch_rows<P: Platform>(shared: &Rc<Shared<P>>, version: u64) -> Option<u64> {
-    let wait = shared.settings.limits.config_wait;
+    let wait = shared.settings.limits.config_watch_wait;
     let requested_at = shared.clock.now();
     let changes = shared.services.store.operator_changes(version, wait).await;
-    shared.note_store(&changes);
-    Some(apply(shared, Source::Watch, changes.ok()??, requested_at))
+    shared.record_store_result(&changes);
+    Some(apply(shared, EvacuationSource::Watch, changes.ok()??, requested_at))
 }
 
 /// Applies the operators' rows. Returns the version to watch from.
 fn apply<P: Platform>(
     shared: &Shared<P>,
-    source: Source,
+    source: EvacuationSource,
     rows: OperatorRows,
     requested_at: Time,
 ) -> u64 {
     let OperatorRows { config, evacuations, version } = rows;
     if let Some(config) = config {
-        shared.offer_config(config, "store");
+        shared.apply_if_newer(config, "store");
     }
-    shared.note_evacuations(source, version, evacuations, requested_at);
+    shared.record_evacuations(source, version, evacuations, requested_at);
     version
 }
--- a/crates/kitetraild/src/fleet/connection_limits.rs
+++ b/crates/kitetraild/src/fleet/connection_limits.rs
@@ -6,9 +6,9 @@
 
 /// The response times that users are promised.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Promises {
+pub struct ResponsePromises {
     /// The time after the end of a fault, such as a silent connection, until all other promises hold again.
-    pub contact: Duration,
+    pub recovery: Duration,
     /// The time after a worker reported that it drains during which it may still be given work.
     pub drain: Duration,
     /// The time from writing a configuration until it is in force.
@@ -31,9 +31,9 @@
     /// The time that a watch call waits for changes in the list of workers.
     pub workers_watch_wait: Duration,
     /// The time that a watch call waits for changes of the configuration.
-    pub config_wait: Duration,
+    pub config_watch_wait: Duration,
     /// The time that such a call may take beyond its wait. Twice the response time of a slow store.
-    pub watch_slack: Duration,
+    pub watch_margin: Duration,
     /// The timeout of an order to a worker. A worker answers within 1 or 2 ms, and a box slowed five
     /// times receives the answer within 10 ms. A timeout that is too short costs a report, one that is
     /// too long delays all orders.
@@ -54,25 +54,25 @@
 
 impl ConnectionLimits {
     /// Derives the limits from the promises.
-    pub fn of(promises: &Promises) -> Self {
+    pub fn from_promises(promises: &ResponsePromises) -> Self {
         // A watch must receive a change within the promised contact time, even after one call on a
         // silent connection and another one on a new connection. A cancellation must be acknowledged
         // in time even after a ping and a call on a new connection.
-        let contact = promises.contact;
-        let config = contact.min(promises.config_in_force.saturating_mul(3) / 2);
-        let answer = contact.min(promises.cancel).min(promises.acknowledge);
+        let recovery = promises.recovery;
+        let config = recovery.min(promises.config_in_force.saturating_mul(3) / 2);
+        let answer = recovery.min(promises.cancel).min(promises.acknowledge);
         Self {
-            store_timeout: contact / 3,
-            store_suspect_after: contact / 8,
-            workers_watch_wait: contact.min(promises.drain.saturating_mul(3) / 2) / 4,
-            config_wait: config / 2,
-            watch_slack: contact / 5,
+            store_timeout: recovery / 3,
+            store_suspect_after: recovery / 8,
+            workers_watch_wait: recovery.min(promises.drain.saturating_mul(3) / 2) / 4,
+            config_watch_wait: config / 2,
+            watch_margin: recovery / 5,
             order_timeout: answer / 10,
             poll_margin: answer / 10,
             ping_timeout: answer / 12,
             peer_timeout: answer / 6,
-            peer_max_idle: contact / 4,
-            peer_keepalive_interval: contact.saturating_mul(4),
+            peer_max_idle: recovery / 4,
+            peer_keepalive_interval: recovery.saturating_mul(4),
         }
     }
 }
--- a/crates/kitetraild/src/fleet/connection_limits/tests.rs
+++ b/crates/kitetraild/src/fleet/connection_limits/tests.rs
@@ -11,17 +11,17 @@
 /// The interval between pings to the owner.
 const PING_INTERVAL: Duration = ms(400);
 
-const PROMISES: [Promises; 2] = [
-    Promises {
-        contact: ms(3_000),
+const PROMISES: [ResponsePromises; 2] = [
+    ResponsePromises {
+        recovery: ms(3_000),
         drain: ms(2_000),
         config_in_force: ms(2_000),
         cancel: ms(3_000),
         acknowledge: ms(4_000),
     },
     // The promises in the tests that start processes.
-    Promises {
-        contact: ms(6_000),
+    ResponsePromises {
+        recovery: ms(6_000),
         drain: ms(4_000),
         config_in_force: ms(4_000),
         cancel: ms(6_000),
@@ -32,10 +32,10 @@
 #[test]
 fn a_watch_receives_a_change_within_the_promised_contact_time() {
     for promises in PROMISES {
-        let limits = ConnectionLimits::of(&promises);
-        for wait in [limits.workers_watch_wait, limits.config_wait] {
-            let worst_case = wait + limits.watch_slack + MAX_WATCH_PAUSES + SLOW_STORE;
-            assert!(worst_case < promises.contact, "{worst_case:?} of {promises:?}");
+        let limits = ConnectionLimits::from_promises(&promises);
+        for wait in [limits.workers_watch_wait, limits.config_watch_wait] {
+            let worst_case = wait + limits.watch_margin + MAX_WATCH_PAUSES + SLOW_STORE;
+            assert!(worst_case < promises.recovery, "{worst_case:?} of {promises:?}");
         }
     }
 }
@@ -43,8 +43,8 @@
 #[test]
 fn a_slow_store_is_not_considered_silent() {
     for promises in PROMISES {
-        let limits = ConnectionLimits::of(&promises);
-        assert!(limits.store_suspect_after > SLOW_STORE && limits.watch_slack > SLOW_STORE);
+        let limits = ConnectionLimits::from_promises(&promises);
+        assert!(limits.store_suspect_after > SLOW_STORE && limits.watch_margin > SLOW_STORE);
         assert!(limits.store_timeout > limits.store_suspect_after);
     }
 }
@@ -52,7 +52,7 @@
 #[test]
 fn a_stop_order_reaches_its_worker_within_the_promised_time() {
     for promises in PROMISES {
-        let limits = ConnectionLimits::of(&promises);
+        let limits = ConnectionLimits::from_promises(&promises);
         // The longest poll, and an order that finds the connection silent before the poll times out.
         let poll = ms(900) + limits.poll_margin;
         assert!(poll + limits.order_timeout.saturating_mul(2) < promises.cancel);
@@ -62,7 +62,7 @@
 #[test]
 fn a_pinged_connection_is_reused_until_the_next_ping() {
     for promises in PROMISES {
-        let limits = ConnectionLimits::of(&promises);
+        let limits = ConnectionLimits::from_promises(&promises);
         assert!(limits.peer_max_idle > PING_INTERVAL + limits.ping_timeout);
         assert!(limits.ping_timeout.saturating_mul(2) < limits.store_timeout);
     }
--- a/crates/kitetraild/src/fleet/evacuation.rs
+++ b/crates/kitetraild/src/fleet/evacuation.rs
@@ -14,18 +14,18 @@
 use kitetrail_platform::fleet::OperatorSource;
 use tokio::time;
 
-use super::{Platform, ownership::RETRY, shared::Shared};
+use super::{Platform, ownership::STORE_RETRY_DELAY, shared::Shared};
 
 /// The origin of evacuation requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Source {
+pub(super) enum EvacuationSource {
     /// A read of all requests.
     List,
     /// A watch on the operators' table.
     Watch,
 }
 
-impl Source {
+impl EvacuationSource {
     fn name(self) -> &'static str {
         match self {
             Self::List => "list",
@@ -57,9 +57,9 @@
 
     /// Records the requests returned by a call that began at `asked_at`. Returns the number of evacuated
     /// zones if something changed.
-    pub(super) fn note(
+    pub(super) fn record(
         &self,
-        source: Source,
+        source: EvacuationSource,
         version: u64,
         changes: Vec<EvacuationChange>,
         asked_at: Time,
@@ -67,8 +67,8 @@
         self.asked_at.set(self.asked_at.get().max(Some(asked_at)));
         let mut known = self.known.borrow_mut();
         let changed = match source {
-            Source::List => known.read(version, changes),
-            Source::Watch => known.follow(version, changes),
+            EvacuationSource::List => known.read(version, changes),
+            EvacuationSource::Watch => known.follow(version, changes),
         };
         for EvacuationChange { zone, version, requested } in &changed {
             log::info!(
@@ -98,13 +98,13 @@
     // The calls that watch the operators' table follow each other immediately, so the last answered call
     // began at most two waits ago, plus some slack for a slow link.
     let limits = shared.settings.limits;
-    let fresh_for = limits.config_wait.saturating_mul(2).saturating_add(limits.watch_slack);
+    let fresh_for = limits.config_watch_wait.saturating_mul(2).saturating_add(limits.watch_margin);
     while !shared.evacuated.is_known_within(shared.clock.now(), fresh_for) {
         if shared.draining.get() {
             return false;
         }
         if read_requests(shared).await.is_none() {
-            time::sleep(RETRY).await;
+            time::sleep(STORE_RETRY_DELAY).await;
         }
     }
     true
@@ -114,8 +114,8 @@
 async fn read_requests<P: Platform>(shared: &Rc<Shared<P>>) -> Option<()> {
     let asked_at = shared.clock.now();
     let read = shared.services.store.evacuations().await;
-    shared.note_store(&read);
+    shared.record_store_result(&read);
     let (requests, version) = read.ok()?;
-    shared.note_evacuations(Source::List, version, requests, asked_at);
+    shared.record_evacuations(EvacuationSource::List, version, requests, asked_at);
     Some(())
 }
--- a/crates/kitetraild/src/fleet/front.rs
+++ b/crates/kitetraild/src/fleet/front.rs
@@ -71,7 +71,7 @@
     let service = service_fn(move |request| {
         let shared = Rc::clone(&shared);
         async move {
-            let _in_progress = InProgressGuard::begin(&shared.in_progress);
+            let _in_progress = InProgressGuard::begin(&shared.requests_in_progress);
             let response = handle_request(&shared, request, limits).await;
             Ok::<_, Infallible>(if shared.draining.get() { closing(response) } else { response })
         }
@@ -168,8 +168,10 @@
 
 /// Limits the deadline of a call to the end of a stopping box, so that its caller still gets a response.
 fn limit_deadline<P: Platform>(shared: &Shared<P>, latest: Instant) -> Instant {
-    let before_end = |ends_at: Instant| ends_at.checked_sub(SHUTDOWN_RESERVE).unwrap_or(ends_at);
-    shared.ends_at.get().map(before_end).map_or(latest, |end| end.min(latest))
+    let before_end = |stop_deadline: Instant| {
+        stop_deadline.checked_sub(SHUTDOWN_RESERVE).unwrap_or(stop_deadline)
+    };
+    shared.stop_deadline.get().map(before_end).map_or(latest, |end| end.min(latest))
 }
 
 /// Returns the timeout of a call, from the request's header and the route.
@@ -189,7 +191,7 @@
 
 /// Answers with the number of waiting jobs of a queue.
 fn pending<P: Platform>(shared: &Shared<P>, route: &QueueRoute) -> Response<Body> {
-    match shared.pending_of(route.queue.name.as_str()) {
+    match shared.pending_jobs_of(route.queue.name.as_str()) {
         Some(pending) => {
             json_response(StatusCode::OK, shared.services.codec.write_pending(pending))
         }
--- a/crates/kitetraild/src/fleet/mod.rs
+++ b/crates/kitetraild/src/fleet/mod.rs
@@ -20,7 +20,7 @@
 mod scan;
 mod settings;
 mod shared;
-mod store_doubt;
+mod store_probe;
 mod takeover;
 mod workers_watch;
 
@@ -29,7 +29,7 @@
     fleet::{JobCodec, OperatorSource, RowStore, WorkerControl, WorkerList},
 };
 
-pub use connection_limits::{ConnectionLimits, Promises};
+pub use connection_limits::{ConnectionLimits, ResponsePromises};
 pub use run::run;
 pub use settings::{FleetSettings, Listen};
 
--- a/crates/kitetraild/src/fleet/owner/mod.rs
+++ b/crates/kitetraild/src/fleet/owner/mod.rs
@@ -19,7 +19,7 @@
     calls::{Answer, Call},
     committer::Batch,
     shared::Shared,
-    store_doubt::StoreProbe,
+    store_probe::StoreProbe,
 };
 use crate::clock::unix_ms;
 
--- a/crates/kitetraild/src/fleet/ownership.rs
+++ b/crates/kitetraild/src/fleet/ownership.rs
@@ -21,7 +21,7 @@
 };
 
 /// The interval between pings to the owner: see `docs/design/platform.md`, "Ownership".
-pub(super) const PING_EVERY: Duration = Duration::from_millis(400);
+pub(super) const PING_INTERVAL: Duration = Duration::from_millis(400);
 /// An owner that does not answer pings is considered lost after it has not written for this long:
 /// more than two of its heartbeats.
 const SILENT_OWNER_TIMEOUT: Duration = Duration::from_millis(800);
@@ -42,7 +42,7 @@
 /// within the shortest limit, [`REFUSED_OWNER_TIMEOUT`].
 const HEAD_POLL_INTERVAL: Duration = Duration::from_millis(180);
 /// The delay after a call to the store that failed.
-pub(super) const RETRY: Duration = Duration::from_millis(150);
+pub(super) const STORE_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// The assessed state of the owner. It decides whether, and after what time, the owner is replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -66,11 +66,11 @@
                 shared.set_claimed_epoch(0);
             }
             Ok(None) => {
-                let _ = time::timeout(PING_EVERY, shared.follow_asked.notified()).await;
+                let _ = time::timeout(PING_INTERVAL, shared.takeover_requested.notified()).await;
             }
             Err(error) => {
                 log::debug!("owner: failed to check the owner: {error}");
-                time::sleep(RETRY).await;
+                time::sleep(STORE_RETRY_DELAY).await;
             }
         }
     }
@@ -78,7 +78,7 @@
 
 /// Checks the owner once. Returns a claim if this box should take over.
 async fn check_owner<P: Platform>(shared: &Rc<Shared<P>>) -> Result<Option<Claim>, PlatformError> {
-    let takeover_requested = shared.asked_to_follow.get() >= shared.owner().epoch.max(1);
+    let takeover_requested = shared.takeover_requested_epoch.get() >= shared.owner().epoch.max(1);
     if !takeover_requested && known_owner_is_fine(shared).await {
         return Ok(None);
     }
@@ -124,7 +124,7 @@
     let own = shared.settings.listen.peers;
     let wait = match owner.successor {
         Some(successor) if owner.released && successor == own => return Ok(false),
-        _ if shared.asked_to_follow.get() == owner.epoch => return Ok(false),
+        _ if shared.takeover_requested_epoch.get() == owner.epoch => return Ok(false),
         Some(_) if owner.released => SUCCESSOR_WAIT,
         _ => Duration::ZERO,
     };
@@ -156,7 +156,7 @@
 async fn assess<P: Platform>(shared: &Rc<Shared<P>>, owner: &OwnerRow) -> OwnerState {
     // A row with this box's address was written by this process, which does not own the fleet now, or by an
     // earlier one. Incarnations alone can't show that: boxes that start together may have the same one.
-    let takeover_requested = shared.asked_to_follow.get() == owner.epoch;
+    let takeover_requested = shared.takeover_requested_epoch.get() == owner.epoch;
     if owner.released || takeover_requested || owner.address == shared.settings.listen.peers {
         return OwnerState::Stopped;
     }
@@ -193,7 +193,7 @@
     address: SocketAddr,
     answer: &PingAnswer,
 ) {
-    shared.note_told_owner(answer.epoch, &answer.owner_address);
+    shared.record_reported_owner(answer.epoch, &answer.owner_address);
     if answer.owns_epoch != 0 {
         shared.record_pending(answer.pending.clone().into_iter());
         shared.record_owner_lag(Duration::from_millis(answer.lag_ms));
@@ -202,7 +202,7 @@
     let exchanged = match answer.config_version {
         owner_version if owner_version > version => {
             let fetched = shared.peers.fetch_config(address).await;
-            fetched.map(|config| peers::take_config(shared, &config))
+            fetched.map(|config| peers::apply_config(shared, &config))
         }
         owner_version if owner_version < version => {
             shared.peers.offer_config(address, peers::encode_config(shared)).await
@@ -234,7 +234,7 @@
 ) -> Result<LastWrite, PlatformError> {
     let first = rows::read_head(shared).await?;
     let started = Instant::now();
-    while started.elapsed() < timeout && shared.asked_to_follow.get() != owner.epoch {
+    while started.elapsed() < timeout && shared.takeover_requested_epoch.get() != owner.epoch {
         time::sleep(HEAD_POLL_INTERVAL).await;
         if rows::read_head(shared).await? != first {
             return Ok(LastWrite::Changed);
--- a/crates/kitetraild/src/fleet/peers/client.rs
+++ b/crates/kitetraild/src/fleet/peers/client.rs
@@ -56,7 +56,7 @@
         match answer {
             Ok(answer) => {
                 channel.record_response();
-                let view = OwnerView::told(answer.epoch, &answer.owner_address);
+                let view = OwnerView::from_report(answer.epoch, &answer.owner_address);
                 (decode_answer(answer.outcome()), view)
             }
             Err(status) => {
--- a/crates/kitetraild/src/fleet/peers/codec.rs
+++ b/crates/kitetraild/src/fleet/peers/codec.rs
@@ -30,12 +30,12 @@
 }
 
 /// Applies a configuration from another box, if it is newer than the one in force.
-pub(in crate::fleet) fn take_config<P: Platform>(shared: &Shared<P>, config: &Config) {
+pub(in crate::fleet) fn apply_config<P: Platform>(shared: &Shared<P>, config: &Config) {
     if config.config_json.is_empty() {
         return;
     }
     match serde_json::from_slice::<FleetConfig>(&config.config_json) {
-        Ok(config) => shared.offer_config(config, "peer"),
+        Ok(config) => shared.apply_if_newer(config, "peer"),
         Err(error) => {
             log::warn!("config: the configuration of another box can't be decoded: {error}")
         }
--- a/crates/kitetraild/src/fleet/peers/server.rs
+++ b/crates/kitetraild/src/fleet/peers/server.rs
@@ -28,8 +28,8 @@
         shared::Shared,
     },
     CALL_TIMEOUT,
-    codec::{decode_call, encode_answer, encode_config, take_config},
-    status::BoxStatus,
+    codec::{apply_config, decode_call, encode_answer, encode_config},
+    status::PublishedStatus,
 };
 
 /// The capacity of the queue of messages from other boxes.
@@ -48,7 +48,7 @@
     TakeOver(TakeOverRequest, oneshot::Sender<TakeOverAnswer>),
 }
 
-/// Serves other boxes until the process ends, on a separate thread: see [`BoxStatus`].
+/// Serves other boxes until the process ends, on a separate thread: see [`PublishedStatus`].
 pub(in crate::fleet) async fn serve<P: Platform>(shared: Rc<Shared<P>>) {
     let (sender, mut messages) = mpsc::channel(QUEUE_CAPACITY);
     let address = shared.settings.listen.peers;
@@ -80,13 +80,13 @@
             task::spawn_local(answer_call(Rc::clone(shared), request, reply));
         }
         PeerMessage::Pinged(request) => {
-            shared.note_told_owner(request.epoch, &request.owner_address);
+            shared.record_reported_owner(request.epoch, &request.owner_address);
             record_candidate(shared, &request);
         }
         PeerMessage::FetchConfig(reply) => {
             let _ = reply.send(encode_config(shared));
         }
-        PeerMessage::OfferConfig(config) => take_config(shared, &config),
+        PeerMessage::OfferConfig(config) => apply_config(shared, &config),
         PeerMessage::ReachStore(reply) => {
             task::spawn_local(reach_store(Rc::clone(shared), reply));
         }
@@ -102,7 +102,7 @@
     request: CallRequest,
     reply: oneshot::Sender<CallAnswer>,
 ) {
-    let owner = shared.local_owner.borrow().clone();
+    let owner = shared.owner_inbox.borrow().clone();
     let answer = match (owner, decode_call(request)) {
         (Some(owner), Some(call)) => calls::call_local_owner(owner, call, CALL_TIMEOUT).await,
         (None, _) => Answer::NotOwner,
@@ -127,8 +127,8 @@
     reply: oneshot::Sender<TakeOverAnswer>,
 ) {
     log::info!(epoch = epoch; "owner: asked to take over from an owner that has stopped");
-    shared.asked_to_follow.set(epoch);
-    shared.follow_asked.notify_one();
+    shared.takeover_requested_epoch.set(epoch);
+    shared.takeover_requested.notify_one();
     let succeeded = async {
         while shared.owner().epoch <= epoch {
             shared.owner_changed.notified().await;
@@ -156,7 +156,7 @@
 /// The gRPC service. It passes each message to the thread of the shared state.
 struct Handler {
     sender: mpsc::Sender<PeerMessage>,
-    status: BoxStatus,
+    status: PublishedStatus,
 }
 
 impl Handler {
--- a/crates/kitetraild/src/fleet/peers/status.rs
+++ b/crates/kitetraild/src/fleet/peers/status.rs
@@ -17,7 +17,7 @@
 /// boxes deposed each other within 8 s in this way. The loop therefore publishes its status here on each
 /// iteration, and another thread answers pings.
 #[derive(Debug, Clone)]
-pub(in crate::fleet) struct BoxStatus(Arc<Mutex<Snapshot>>);
+pub(in crate::fleet) struct PublishedStatus(Arc<Mutex<Snapshot>>);
 
 #[derive(Debug)]
 struct Snapshot {
@@ -25,7 +25,7 @@
     published_at: Instant,
 }
 
-impl BoxStatus {
+impl PublishedStatus {
     /// Creates the status of a box whose loop has not published any yet.
     pub(in crate::fleet) fn new(incarnation: u64) -> Self {
         let answer = PingAnswer { incarnation, ..PingAnswer::default() };
--- a/crates/kitetraild/src/fleet/peers/status/tests.rs
+++ b/crates/kitetraild/src/fleet/peers/status/tests.rs
@@ -4,11 +4,11 @@
 
 use kitetrail_proto::jobs::PingAnswer;
 
-use super::{BoxStatus, MAX_STATUS_AGE};
+use super::{MAX_STATUS_AGE, PublishedStatus};
 
 #[test]
 fn a_late_loop_reports_its_last_status_and_a_stopped_one_a_silent_store() {
-    let status = BoxStatus::new(7);
+    let status = PublishedStatus::new(7);
     status.publish(PingAnswer { owns_epoch: 3, store_silent_ms: 40, ..PingAnswer::default() });
     let now = Instant::now();
     assert_eq!(status.ping_answer(now + MAX_STATUS_AGE / 2).store_silent_ms, 40);
@@ -19,7 +19,7 @@
 
 #[test]
 fn an_epoch_is_reported_before_the_loop_publishes_its_status() {
-    let status = BoxStatus::new(7);
+    let status = PublishedStatus::new(7);
     status.publish_epoch(5);
     let answer = status.ping_answer(Instant::now());
     assert_eq!((answer.incarnation, answer.owns_epoch), (7, 5));
--- a/crates/kitetraild/src/fleet/predecessor.rs
+++ b/crates/kitetraild/src/fleet/predecessor.rs
@@ -8,7 +8,7 @@
 use super::{
     Platform,
     owner::OwnerMessage,
-    ownership::{self, PING_EVERY},
+    ownership::{self, PING_INTERVAL},
     shared::Shared,
     takeover::Claim,
 };
@@ -34,6 +34,6 @@
                 .await;
             return;
         }
-        time::sleep(PING_EVERY).await;
+        time::sleep(PING_INTERVAL).await;
     }
 }
--- a/crates/kitetraild/src/fleet/rows.rs
+++ b/crates/kitetraild/src/fleet/rows.rs
@@ -59,24 +59,24 @@
     pub(super) earlier_renew_for_ms: Option<u64>,
 }
 
-pub(super) fn owner_row() -> RowName {
-    row(OWNER_TABLE, "owner")
+pub(super) fn owner_row_name() -> RowName {
+    row_name(OWNER_TABLE, "owner")
 }
 
-pub(super) fn head_row() -> RowName {
-    row(HEAD_TABLE, "head")
+pub(super) fn head_row_name() -> RowName {
+    row_name(HEAD_TABLE, "head")
 }
 
-pub(super) fn effects_row() -> RowName {
-    row(EFFECTS_TABLE, "effects")
+pub(super) fn effects_row_name() -> RowName {
+    row_name(EFFECTS_TABLE, "effects")
 }
 
-pub(super) fn job_row(job: &str) -> RowName {
-    row(JOBS_TABLE, job)
+pub(super) fn job_row_name(job: &str) -> RowName {
+    row_name(JOBS_TABLE, job)
 }
 
-pub(super) fn progress_row(job: &str) -> RowName {
-    row(PROGRESS_TABLE, job)
+pub(super) fn progress_row_name(job: &str) -> RowName {
+    row_name(PROGRESS_TABLE, job)
 }
 
 /// Adds a record to a transaction.
@@ -86,25 +86,27 @@
 ) -> Result<(), serde_json::Error> {
     match record {
         Record::Job(JobRecord { id, .. }) => {
-            put_record(transaction, job_row(&id.to_string()), record)
+            put_record(transaction, job_row_name(&id.to_string()), record)
         }
         Record::Progress(ProgressRecord { id, .. }) => {
-            put_record(transaction, progress_row(&id.to_string()), record)
+            put_record(transaction, progress_row_name(&id.to_string()), record)
         }
         Record::RemoveJob(id) => {
-            transaction.removes.push(job_row(&id.to_string()));
+            transaction.removes.push(job_row_name(&id.to_string()));
             Ok(())
         }
-        Record::PutInstance(instance) => {
-            put_record(transaction, row(INCARNATIONS_TABLE, &instance.key().to_string()), record)
-        }
-        Record::Effects(_) => put_record(transaction, effects_row(), record),
+        Record::PutInstance(instance) => put_record(
+            transaction,
+            row_name(INCARNATIONS_TABLE, &instance.key().to_string()),
+            record,
+        ),
+        Record::Effects(_) => put_record(transaction, effects_row_name(), record),
         Record::RemoveInstance(instance) => {
-            transaction.removes.push(row(INCARNATIONS_TABLE, &instance.to_string()));
+            transaction.removes.push(row_name(INCARNATIONS_TABLE, &instance.to_string()));
             Ok(())
         }
         Record::RemoveProgress(id) => {
-            transaction.removes.push(progress_row(&id.to_string()));
+            transaction.removes.push(progress_row_name(&id.to_string()));
             Ok(())
         }
     }
@@ -133,7 +135,7 @@
     name: &RowName,
 ) -> Result<Option<(T, u64)>, PlatformError> {
     let row = shared.services.store.read(name).await;
-    shared.note_store(&row);
+    shared.record_store_result(&row);
     let Some(row) = row? else { return Ok(None) };
     let value = decode(&row).map_err(malformed)?;
     Ok(Some((value, row.version)))
@@ -143,14 +145,14 @@
 pub(super) async fn read_owner<P: Platform>(
     shared: &Rc<Shared<P>>,
 ) -> Result<Option<(OwnerRow, u64)>, PlatformError> {
-    read_decoded(shared, &owner_row()).await
+    read_decoded(shared, &owner_row_name()).await
 }
 
 /// Reads the head row, with its version. Returns `None` if nothing was ever written.
 pub(super) async fn read_head<P: Platform>(
     shared: &Rc<Shared<P>>,
 ) -> Result<Option<(HeadRow, u64)>, PlatformError> {
-    read_decoded(shared, &head_row()).await
+    read_decoded(shared, &head_row_name()).await
 }
 
 /// Encodes a value of a row.
@@ -180,6 +182,6 @@
     Ok(())
 }
 
-fn row(table: &'static str, key: &str) -> RowName {
+fn row_name(table: &'static str, key: &str) -> RowName {
     RowName { table, part: PARTITION.to_owned(), key: key.to_owned() }
 }
--- a/crates/kitetraild/src/fleet/run.rs
+++ b/crates/kitetraild/src/fleet/run.rs
@@ -138,7 +138,7 @@
     shared.metrics.note_suspension();
     log::warn!(
         suspended_ms = since_last_check.as_millis() as u64,
-        owns = shared.local_owner.borrow().is_some();
+        owns = shared.owner_inbox.borrow().is_some();
         "daemon: its machine was suspended"
     );
     suspended
@@ -147,20 +147,20 @@
 /// Releases the fleet, finishes the requests in progress, and returns.
 async fn stop<P: Platform>(shared: &Rc<Shared<P>>) {
     let started = Instant::now();
-    log::info!(in_progress = shared.in_progress.get(); "daemon: stopping");
-    let time_limit = shared.settings.stop_within;
-    shared.ends_at.set(Some(started + time_limit));
+    log::info!(in_progress = shared.requests_in_progress.get(); "daemon: stopping");
+    let time_limit = shared.settings.stop_timeout;
+    shared.stop_deadline.set(Some(started + time_limit));
     shared.draining.set(true);
     takeover::release_if_owner(shared).await;
     loop {
         time::sleep(STOP_POLL_INTERVAL).await;
-        let (waited, busy) = (started.elapsed(), shared.in_progress.get() > 0);
-        let owns = shared.local_owner.borrow().is_some();
+        let (waited, busy) = (started.elapsed(), shared.requests_in_progress.get() > 0);
+        let owns = shared.owner_inbox.borrow().is_some();
         if waited >= time_limit || (waited >= ACCEPT_AFTER_STOP && !busy && !owns) {
             break;
         }
     }
-    log::info!(in_progress = shared.in_progress.get(); "daemon: stopped");
+    log::info!(in_progress = shared.requests_in_progress.get(); "daemon: stopped");
 }
 
 fn watch_signal(kind: SignalKind) -> Result<Signal, DaemonError> {
--- a/crates/kitetraild/src/fleet/scan.rs
+++ b/crates/kitetraild/src/fleet/scan.rs
@@ -8,7 +8,7 @@
 };
 use tokio::time;
 
-use super::{Platform, ownership::RETRY, rows, shared::Shared};
+use super::{Platform, ownership::STORE_RETRY_DELAY, rows, shared::Shared};
 
 /// The initial number of rows per page. With about 2 KB per row, a link of 10 Mbit/s transfers a page
 /// in 0.2 s, well within the timeout of a call to the store.
@@ -27,7 +27,7 @@
         (Vec::new(), String::new(), INITIAL_PAGE_ROWS, 0);
     loop {
         let page = shared.services.store.page(table, rows::PARTITION, &from, limit).await;
-        shared.note_store(&page);
+        shared.record_store_result(&page);
         match page {
             Ok(RowPage { rows: page_rows, next }) => {
                 rows.extend(page_rows);
@@ -44,7 +44,7 @@
                 if matches!(error, PlatformError::AnswerLost { .. }) {
                     limit = (limit / 2).max(MIN_PAGE_ROWS);
                 }
-                time::sleep(RETRY).await;
+                time::sleep(STORE_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/kitetraild/src/fleet/settings.rs
+++ b/crates/kitetraild/src/fleet/settings.rs
@@ -39,5 +39,5 @@
     /// The timeouts of connections.
     pub limits: ConnectionLimits,
     /// The time within which a box must stop after it was asked to.
-    pub stop_within: Duration,
+    pub stop_timeout: Duration,
 }
--- a/crates/kitetraild/src/fleet/shared.rs
+++ b/crates/kitetraild/src/fleet/shared.rs
@@ -17,9 +17,9 @@
 
 use super::{
     FleetSettings, Platform, Services,
-    evacuation::{EvacuatedZones, Source},
+    evacuation::{EvacuatedZones, EvacuationSource},
     owner::OwnerMessage,
-    peers::{BoxStatus, PeerClients},
+    peers::{PeerClients, PublishedStatus},
 };
 use crate::{clock::Clock, metrics::Metrics};
 
@@ -44,7 +44,7 @@
 
 impl OwnerView {
     /// Creates the view that another box reports.
-    pub(super) fn told(epoch: u64, address: &str) -> Self {
+    pub(super) fn from_report(epoch: u64, address: &str) -> Self {
         Self { epoch, address: address.parse().ok() }
     }
 
@@ -69,16 +69,16 @@
     owner: Cell<OwnerView>,
     pub(super) owner_changed: Notify,
     /// The owner's inbox, while this box owns the fleet.
-    pub(super) local_owner: RefCell<Option<mpsc::Sender<OwnerMessage>>>,
+    pub(super) owner_inbox: RefCell<Option<mpsc::Sender<OwnerMessage>>>,
     /// The epoch in which this box owns the fleet or has just claimed it; 0 if neither.
     ///
     /// It is set before the claim is sent to the store: other boxes may read the row before the answer
     /// arrives.
     claimed_epoch: Cell<u64>,
     /// The last reported numbers of accepted jobs that have not begun, by queue, and the time of the report.
-    pending: RefCell<Option<(BTreeMap<String, u64>, Time)>>,
+    pending_counts: RefCell<Option<(BTreeMap<String, u64>, Time)>>,
     /// The status of this box as reported to others.
-    pub(super) status: BoxStatus,
+    pub(super) status: PublishedStatus,
     /// How far this box as the owner lags behind its events, in milliseconds; 0 if it is not the owner.
     pub(super) own_lag_ms: Cell<u64>,
     /// The lag that the owner last reported, and the time of the report.
@@ -86,8 +86,8 @@
     /// The boxes that ping this one, and so could own the fleet after it.
     pub(super) candidates: RefCell<Candidates<SocketAddr>>,
     /// The epoch of an owner that has stopped and asked this box to take over; 0 if none.
-    pub(super) asked_to_follow: Cell<u64>,
-    pub(super) follow_asked: Notify,
+    pub(super) takeover_requested_epoch: Cell<u64>,
+    pub(super) takeover_requested: Notify,
     /// The latest time at which this box certainly owned the fleet: the start of a write that was
     /// committed.
     pub(super) confirmed_owner_at: Cell<Option<Time>>,
@@ -102,9 +102,9 @@
     /// Whether the box was asked to stop.
     pub(super) draining: Cell<bool>,
     /// The latest time at which the box ends, once it was asked to stop.
-    pub(super) ends_at: Cell<Option<Instant>>,
+    pub(super) stop_deadline: Cell<Option<Instant>>,
     /// The number of callers' requests that are not answered yet.
-    pub(super) in_progress: Cell<usize>,
+    pub(super) requests_in_progress: Cell<usize>,
 }
 
 impl<P: Platform> Shared<P> {
@@ -127,23 +127,23 @@
             evacuated: EvacuatedZones::default(),
             owner: Cell::default(),
             owner_changed: Notify::new(),
-            local_owner: RefCell::default(),
+            owner_inbox: RefCell::default(),
             claimed_epoch: Cell::new(0),
-            pending: RefCell::default(),
-            status: BoxStatus::new(incarnation),
+            pending_counts: RefCell::default(),
+            status: PublishedStatus::new(incarnation),
             own_lag_ms: Cell::new(0),
             reported_owner_lag: Cell::new(None),
             candidates: RefCell::default(),
-            asked_to_follow: Cell::new(0),
-            follow_asked: Notify::new(),
+            takeover_requested_epoch: Cell::new(0),
+            takeover_requested: Notify::new(),
             confirmed_owner_at: Cell::new(None),
             write_pending_since: Cell::new(None),
             store_answered_at: Cell::new(clock.now()),
             store_unreachable: Cell::new(false),
             store_recovered_at: Cell::new(None),
             draining: Cell::new(false),
-            ends_at: Cell::new(None),
-            in_progress: Cell::new(0),
+            stop_deadline: Cell::new(None),
+            requests_in_progress: Cell::new(0),
         })
     }
 
@@ -171,7 +171,7 @@
             config_version: self.config_version(),
             pending: match owns_epoch {
                 0 => HashMap::new(),
-                _ => self.pending().into_iter().collect(),
+                _ => self.pending_counts().into_iter().collect(),
             },
             lag_ms: self.own_lag_ms.get(),
         });
@@ -186,7 +186,7 @@
     }
 
     /// Applies a configuration if it is newer than the current one.
-    pub(super) fn offer_config(&self, config: FleetConfig, source: &'static str) {
+    pub(super) fn apply_if_newer(&self, config: FleetConfig, source: &'static str) {
         let before = self.config_version();
         if self.config.borrow().is_some() && config.version <= before {
             return;
@@ -200,14 +200,14 @@
     }
 
     /// Records the evacuation requests returned by a call that began at `asked_at`.
-    pub(super) fn note_evacuations(
+    pub(super) fn record_evacuations(
         &self,
-        source: Source,
+        source: EvacuationSource,
         version: u64,
         changes: Vec<EvacuationChange>,
         asked_at: Time,
     ) {
-        if let Some(zones) = self.evacuated.note(source, version, changes, asked_at) {
+        if let Some(zones) = self.evacuated.record(source, version, changes, asked_at) {
             self.metrics.note_evacuated_zones(zones as u64);
         }
     }
@@ -233,34 +233,34 @@
     }
 
     /// Records the owner that another box reports.
-    pub(super) fn note_told_owner(&self, epoch: u64, address: &str) {
-        self.note_told_view(OwnerView::told(epoch, address));
+    pub(super) fn record_reported_owner(&self, epoch: u64, address: &str) {
+        self.record_reported_view(OwnerView::from_report(epoch, address));
     }
 
     /// Records the owner that another box reports, as a parsed view.
-    pub(super) fn note_told_view(&self, told: OwnerView) {
-        if told.epoch > self.owner().epoch && told.address.is_some() {
-            self.adopt_owner(told, "peer");
+    pub(super) fn record_reported_view(&self, reported: OwnerView) {
+        if reported.epoch > self.owner().epoch && reported.address.is_some() {
+            self.adopt_owner(reported, "peer");
         }
     }
 
     /// Returns the number of accepted jobs of a queue that have not begun; `None` if the owner has not
     /// reported counts recently.
-    pub(super) fn pending_of(&self, queue: &str) -> Option<u64> {
-        let pending = self.pending.borrow();
-        let (counts, reported_at) = pending.as_ref()?;
+    pub(super) fn pending_jobs_of(&self, queue: &str) -> Option<u64> {
+        let pending_counts = self.pending_counts.borrow();
+        let (counts, reported_at) = pending_counts.as_ref()?;
         let fresh = self.clock.now().since(*reported_at) <= MAX_PENDING_AGE;
         fresh.then(|| counts.get(queue).copied().unwrap_or(0))
     }
 
     /// Returns all counts that the owner last reported.
-    pub(super) fn pending(&self) -> BTreeMap<String, u64> {
-        self.pending.borrow().as_ref().map(|(counts, _)| counts.clone()).unwrap_or_default()
+    pub(super) fn pending_counts(&self) -> BTreeMap<String, u64> {
+        self.pending_counts.borrow().as_ref().map(|(counts, _)| counts.clone()).unwrap_or_default()
     }
 
     /// Records the counts that the owner reports.
     pub(super) fn record_pending(&self, counts: impl Iterator<Item = (String, u64)>) {
-        *self.pending.borrow_mut() = Some((counts.collect(), self.clock.now()));
+        *self.pending_counts.borrow_mut() = Some((counts.collect(), self.clock.now()));
     }
 
     /// Returns how far the owner lags behind its events, by its last recent report.
@@ -277,7 +277,7 @@
     }
 
     /// Records whether a call to the store got an answer.
-    pub(super) fn note_store<T>(&self, result: &Result<T, PlatformError>) {
+    pub(super) fn record_store_result<T>(&self, result: &Result<T, PlatformError>) {
         let answered = match result {
             Ok(_) => true,
             Err(PlatformError::Refused { status, .. }) => !BUSY_STATUSES.contains(status),
--- a/crates/kitetraild/src/fleet/takeover.rs
+++ b/crates/kitetraild/src/fleet/takeover.rs
@@ -23,7 +23,7 @@
     committer::{Batch, Committer, HEARTBEAT},
     evacuation,
     owner::{MAX_UNCONFIRMED, Owner, OwnerMessage, OwnershipEnd},
-    ownership::RETRY,
+    ownership::STORE_RETRY_DELAY,
     predecessor,
     rows::{self, HeadRow, OwnerRow},
     scan,
@@ -76,11 +76,11 @@
         Ok(None) => return,
         Err(error) => {
             log::warn!("owner: failed to take over the fleet: {error}");
-            return time::sleep(RETRY).await;
+            return time::sleep(STORE_RETRY_DELAY).await;
         }
     };
     let ended = run_owner(shared, &row, version, claim, started).await;
-    *shared.local_owner.borrow_mut() = None;
+    *shared.owner_inbox.borrow_mut() = None;
     log::info!(epoch = row.epoch, ended:? = ended; "owner: owns the fleet no more");
 }
 
@@ -96,7 +96,7 @@
             }
             Err(error) => {
                 log::warn!("owner: failed to read the jobs: {error}");
-                time::sleep(RETRY).await;
+                time::sleep(STORE_RETRY_DELAY).await;
             }
         }
     }
@@ -182,7 +182,7 @@
 ) -> OwnershipEnd {
     let scheduler = new_scheduler(shared, row.epoch, inheritance);
     let watcher = task::spawn_local(workers_watch::run(Rc::clone(shared), sender.clone()));
-    *shared.local_owner.borrow_mut() = Some(sender.clone());
+    *shared.owner_inbox.borrow_mut() = Some(sender.clone());
     shared.adopt_owner(OwnerView { epoch: row.epoch, address: Some(row.address) }, "self");
     let ended = Owner::new(Rc::clone(shared), scheduler, (sender, inbox), batches).run().await;
     watcher.abort();
@@ -200,7 +200,7 @@
     match shared.peers.take_over(successor, epoch, TAKE_OVER_TIMEOUT).await {
         Ok(answer) => {
             log::info!(peer = peer, epoch = epoch, by = answer.epoch; "owner: followed");
-            shared.note_told_owner(answer.epoch, &answer.owner_address);
+            shared.record_reported_owner(answer.epoch, &answer.owner_address);
         }
         Err(status) => {
             log::warn!(
@@ -236,21 +236,24 @@
     let strongest = owner.map(|owner| owner.row.strongest).unwrap_or_default();
     let row = new_owner_row(shared, epoch + 1, strongest);
     shared.set_claimed_epoch(row.epoch);
-    shared.asked_to_follow.set(0);
+    shared.takeover_requested_epoch.set(0);
     let earlier = claim.earlier_owners(Time::ZERO).may_renew_for(Time::ZERO);
     let earlier_renew_for_ms = Some(earlier.as_millis() as u64);
     let head = HeadRow { epoch: row.epoch, write: 0, earlier_renew_for_ms };
     let transaction = RowTransaction {
-        expected: vec![(rows::owner_row(), version), (rows::head_row(), claim.head_version)],
+        expected: vec![
+            (rows::owner_row_name(), version),
+            (rows::head_row_name(), claim.head_version),
+        ],
         puts: vec![
-            (rows::owner_row(), rows::encode(&row)?),
-            (rows::head_row(), rows::encode(&head)?),
+            (rows::owner_row_name(), rows::encode(&row)?),
+            (rows::head_row_name(), rows::encode(&head)?),
         ],
         removes: Vec::new(),
     };
     let began_at = shared.clock.now();
     let answer = shared.services.store.transact(&transaction).await;
-    shared.note_store(&answer);
+    shared.record_store_result(&answer);
     match answer? {
         TransactionAnswer::Done { version } => {
             shared.confirmed_owner_at.set(Some(began_at));
@@ -302,8 +305,8 @@
     let found = rows::read_owner(shared).await?;
     let Some((_, version)) = found.filter(|(found, _)| found == row) else { return Ok(()) };
     let transaction = RowTransaction {
-        expected: vec![(rows::owner_row(), version)],
-        puts: vec![(rows::owner_row(), rows::encode(released)?)],
+        expected: vec![(rows::owner_row_name(), version)],
+        puts: vec![(rows::owner_row_name(), rows::encode(released)?)],
         removes: Vec::new(),
     };
     shared.services.store.transact(&transaction).await.map(|_| ())
@@ -339,7 +342,7 @@
 /// Reads what the previous owner learned about images. Returns an empty record if the row can't be
 /// decoded, since the scheduler relearns it within seconds.
 async fn load_effects<P: Platform>(shared: &Rc<Shared<P>>) -> Result<EffectsRecord, PlatformError> {
-    match rows::read_decoded::<_, EffectsRecord>(shared, &rows::effects_row()).await {
+    match rows::read_decoded::<_, EffectsRecord>(shared, &rows::effects_row_name()).await {
         Ok(effects) => Ok(effects.map(|(effects, _)| effects).unwrap_or_default()),
         Err(error @ PlatformError::Malformed { .. }) => {
             log::error!(
@@ -353,7 +356,7 @@
 
 /// Releases the fleet in an orderly way, if this box owns it.
 pub(super) async fn release_if_owner<P: Platform>(shared: &Rc<Shared<P>>) {
-    let owner = shared.local_owner.borrow().clone();
+    let owner = shared.owner_inbox.borrow().clone();
     if let Some(owner) = owner {
         let _ = owner.send(OwnerMessage::Release).await;
     }
--- a/crates/kitetraild/src/fleet/workers_watch.rs
+++ b/crates/kitetraild/src/fleet/workers_watch.rs
@@ -94,7 +94,7 @@
 /// Lists all workers.
 async fn list_workers<P: Platform>(shared: &Rc<Shared<P>>, known: &mut KnownEntries) -> Changes {
     let listed = shared.services.store.workers().await;
-    shared.note_store(&listed);
+    shared.record_store_result(&listed);
     let ListedWorkers { entries, unusable, version } = listed.ok()?;
     let ids = entries.iter().map(|entry| &entry.id).chain(unusable.iter().map(|entry| &entry.id));
     let ids = ids.collect::<BTreeSet<_>>();
@@ -121,7 +121,7 @@
 ) -> Changes {
     let wait = shared.settings.limits.workers_watch_wait;
     let followed = shared.services.store.worker_changes(version, wait).await;
-    shared.note_store(&followed);
+    shared.record_store_result(&followed);
     match followed.ok()? {
         WorkerChanges::HistoryGone => {
             log::info!(
