--- a/crates/kitetrail-core/tests/fleet/crashes.rs
+++ b/crates/kitetrail-core/tests/fleet/crashes.rs
@@ -7,12 +7,12 @@
     jobs::{Event, LogEntry, TaskName, WorkerListChange},
 };
 
-use super::{Mood, World};
+use super::{Behaviour, World};
 
 /// The default time until a crashed worker returns.
 const DEFAULT_RETURN_DELAY: Duration = Duration::from_millis(3_000);
 /// The time from a crash until the worker's entry expires.
-const LAPSE_DELAY: Duration = Duration::from_millis(3_300);
+const EXPIRY_DELAY: Duration = Duration::from_millis(3_300);
 
 /// The tasks that crash their workers, and a record of the crashes.
 #[derive(Debug)]
@@ -20,9 +20,9 @@
     /// The tasks that crash their workers, with the amount of work after which they do.
     pub tasks: BTreeMap<TaskName, Duration>,
     /// The time until a crashed worker returns.
-    pub back_after: Duration,
+    pub return_delay: Duration,
     /// Whether a crashed worker returns under its old id instead of a new one.
-    pub same_id: bool,
+    pub keeps_name: bool,
     /// The crashes caused by tasks, in order: the time, the task and the worker.
     pub caused_by_tasks: Vec<(Time, TaskName, String)>,
     /// The number of runs of other tasks that were lost in these crashes.
@@ -30,7 +30,7 @@
     /// The crashed workers, with the time of their return.
     returning: Vec<(Time, String)>,
     /// The entries of crashed workers, with the time at which they expire.
-    lapsing: Vec<(Time, String)>,
+    expiring: Vec<(Time, String)>,
     /// The number of workers that have returned, for new ids.
     return_count: u32,
 }
@@ -39,12 +39,12 @@
     fn default() -> Self {
         Self {
             tasks: BTreeMap::new(),
-            back_after: DEFAULT_RETURN_DELAY,
-            same_id: false,
+            return_delay: DEFAULT_RETURN_DELAY,
+            keeps_name: false,
             caused_by_tasks: Vec::new(),
             lost_other_runs: 0,
             returning: Vec::new(),
-            lapsing: Vec::new(),
+            expiring: Vec::new(),
             return_count: 0,
         }
     }
@@ -61,12 +61,12 @@
         self.crashes.tasks.insert(name, after);
     }
 
-    /// Crashes a worker, whatever it runs. It returns after `back_after`.
+    /// Crashes a worker, whatever it runs. It returns after `return_delay`.
     pub fn crash(&mut self, id: &str) {
-        let (now, back_after) = (self.now, self.crashes.back_after);
+        let (now, return_delay) = (self.now, self.crashes.return_delay);
         self.worker(id).crash();
-        self.crashes.returning.push((now + back_after, id.to_owned()));
-        self.crashes.lapsing.push((now + LAPSE_DELAY, id.to_owned()));
+        self.crashes.returning.push((now + return_delay, id.to_owned()));
+        self.crashes.expiring.push((now + EXPIRY_DELAY, id.to_owned()));
     }
 
     /// Returns the number of crashes that a task caused.
@@ -82,7 +82,7 @@
     }
 
     /// Returns the number of crashes that the scheduler counted against tasks.
-    pub fn crashes_noticed(&self) -> usize {
+    pub fn counted_crashes(&self) -> usize {
         let is_crash = |entry: &LogEntry| matches!(entry, LogEntry::CrashCounted { .. });
         self.log_entries.iter().filter(|(_, entry)| is_crash(entry)).count()
     }
@@ -93,26 +93,26 @@
         let now = self.now;
         for id in take_due(&mut self.crashes.returning, now) {
             self.crashes.return_count += 1;
-            let new_id = match self.crashes.same_id {
+            let new_id = match self.crashes.keeps_name {
                 true => id.clone(),
                 false => format!("{id}+{}", self.crashes.return_count),
             };
-            match self.crashes.same_id {
+            match self.crashes.keeps_name {
                 true => drop(self.restart(&id)),
                 false => drop(self.reborn(&id, &new_id)),
             }
             let entry = self.worker(&new_id).entry.clone();
             self.list(entry);
         }
-        for id in take_due(&mut self.crashes.lapsing, now) {
+        for id in take_due(&mut self.crashes.expiring, now) {
             let has_returned =
-                self.workers.get(&id).is_some_and(|worker| worker.mood != Mood::Down);
+                self.workers.get(&id).is_some_and(|worker| worker.behaviour != Behaviour::Crashed);
             if has_returned {
                 continue;
             }
-            let silent_for = Some(LAPSE_DELAY);
-            let gone = WorkerListChange::Removed { id: id.as_str().into(), silent_for };
-            self.tell(Event::WorkerListChanged(vec![gone]));
+            let silent_for = Some(EXPIRY_DELAY);
+            let removal = WorkerListChange::Removed { id: id.as_str().into(), silent_for };
+            self.tell(Event::WorkerListChanged(vec![removal]));
         }
     }
 
--- a/crates/kitetrail-core/tests/fleet/listing.rs
+++ b/crates/kitetrail-core/tests/fleet/listing.rs
@@ -12,13 +12,13 @@
 /// A silence shorter than the interval between two heartbeats of a worker.
 const BETWEEN_HEARTBEATS: Duration = Duration::from_millis(700);
 /// The silence after which an entry expires: three heartbeats.
-const LAPSE_DELAY: Duration = Duration::from_millis(3_300);
+const EXPIRY_DELAY: Duration = Duration::from_millis(3_300);
 
 impl World {
     /// Sends the entries of all listed workers to the scheduler.
     pub fn list_all(&mut self) {
         let entry = |worker: &FakeWorker| WorkerListChange::Listed(Box::new(worker.entry.clone()));
-        let all = self.workers.values().filter(|worker| !worker.gone).map(entry).collect();
+        let all = self.workers.values().filter(|worker| !worker.unlisted).map(entry).collect();
         self.tell(Event::WorkerListChanged(all));
     }
 
@@ -60,18 +60,18 @@
 
     /// Reports to the scheduler that a worker's entry expired without heartbeats.
     pub fn lapse(&mut self, id: &str) {
-        self.unlist_after(id, LAPSE_DELAY);
+        self.unlist_after(id, EXPIRY_DELAY);
     }
 
     fn unlist_after(&mut self, id: &str, silent_for: Duration) {
-        self.worker(id).gone = true;
-        let gone = WorkerListChange::Removed { id: id.into(), silent_for: Some(silent_for) };
-        self.tell(Event::WorkerListChanged(vec![gone]));
+        self.worker(id).unlisted = true;
+        let removal = WorkerListChange::Removed { id: id.into(), silent_for: Some(silent_for) };
+        self.tell(Event::WorkerListChanged(vec![removal]));
     }
 
     /// Reports to the scheduler that a worker's entry is listed again.
     pub fn relist(&mut self, id: &str) {
-        self.worker(id).gone = false;
+        self.worker(id).unlisted = false;
         let entry = self.worker(id).entry.clone();
         self.list(entry);
     }
--- a/crates/kitetrail-core/tests/fleet/mod.rs
+++ b/crates/kitetrail-core/tests/fleet/mod.rs
@@ -31,7 +31,7 @@
 pub use processor::Processor;
 use restarts::AcknowledgedEnds;
 pub use specs::{job, queue, step, task};
-pub use worker::{FakeWorker, Mood};
+pub use worker::{Behaviour, FakeWorker};
 use worker::{Work, answer_unreachable_poll};
 
 /// The Unix time at which the virtual clock is zero, in milliseconds.
@@ -260,8 +260,8 @@
     }
 
     /// Sets the behaviour of all workers.
-    pub fn set_moods(&mut self, mood: Mood) {
-        self.workers.values_mut().for_each(|worker| worker.mood = mood);
+    pub fn set_behaviours(&mut self, behaviour: Behaviour) {
+        self.workers.values_mut().for_each(|worker| worker.behaviour = behaviour);
     }
 
     /// Returns the worker that runs a task. Panics if no worker does.
@@ -385,13 +385,13 @@
             return OrderAnswer::LifeOver;
         }
         let worker = self.workers.get_mut(id).expect("orders go to workers of the fleet");
-        match (worker.mood, order) {
-            (Mood::Late | Mood::Delayed, Order::Start(_)) => {
-                worker.defer(now + worker.late_by, token, lease_until_ms, order, work);
+        match (worker.behaviour, order) {
+            (Behaviour::AnswersStartsLate | Behaviour::PartitionedAfterStart, Order::Start(_)) => {
+                worker.defer(now + worker.order_delay, token, lease_until_ms, order, work);
                 OrderAnswer::Unanswered
             }
-            (Mood::Cut | Mood::Delayed | Mood::Down, _)
-            | (Mood::Unstoppable, Order::Stop { .. }) => OrderAnswer::Unanswered,
+            (Behaviour::Partitioned | Behaviour::PartitionedAfterStart | Behaviour::Crashed, _)
+            | (Behaviour::IgnoresStops, Order::Stop { .. }) => OrderAnswer::Unanswered,
             _ => {
                 let answer = worker.carry_out(now, token, lease_until_ms, order, work);
                 if let (OrderAnswer::Done { .. }, Order::Start(start)) = (answer, order) {
@@ -424,7 +424,7 @@
         }
         self.check_acknowledged_are_stored(id, poll.acknowledged_end);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.earlier_polls.extend(worker.open_poll.replace((instance, poll, now)));
+            worker.earlier_polls.extend(worker.current_poll.replace((instance, poll, now)));
         }
     }
 
@@ -479,12 +479,12 @@
             for start in worker.carry_out_deferred(now) {
                 self.starts.push((now, start.task, start.run, id.clone()));
             }
-            if let Some((_, instance, ended)) = worker.late_ends.take_if(|(at, ..)| *at <= now) {
+            if let Some((_, instance, ended)) = worker.late_answer.take_if(|(at, ..)| *at <= now) {
                 let incarnation = worker.entry.incarnation;
                 answers.push(Event::LateReport { instance, incarnation, ended });
             }
             let open_polls =
-                mem::take(&mut worker.earlier_polls).into_iter().chain(worker.open_poll.take());
+                mem::take(&mut worker.earlier_polls).into_iter().chain(worker.current_poll.take());
             for (instance, poll, sent_at) in open_polls.collect::<Vec<_>>() {
                 let answer = match is_cut {
                     true => answer_unreachable_poll(now, &poll, sent_at),
@@ -496,7 +496,7 @@
                 } else {
                     worker
                         .earlier_polls
-                        .extend(worker.open_poll.replace((instance, poll, sent_at)));
+                        .extend(worker.current_poll.replace((instance, poll, sent_at)));
                 }
             }
         }
--- a/crates/kitetrail-core/tests/fleet/owners.rs
+++ b/crates/kitetrail-core/tests/fleet/owners.rs
@@ -31,7 +31,7 @@
         self.batches.clear();
         self.order_answers.clear();
         for worker in self.workers.values_mut() {
-            worker.open_poll = None;
+            worker.current_poll = None;
             worker.earlier_polls.clear();
         }
         let earlier_renewal = match earlier_owners_stopped {
--- a/crates/kitetrail-core/tests/fleet/predecessor.rs
+++ b/crates/kitetrail-core/tests/fleet/predecessor.rs
@@ -21,7 +21,7 @@
     /// The batch never reached the store.
     Lost,
     /// The store committed the batch before the takeover, and its answer arrives this long after it.
-    Kept(Duration),
+    Committed(Duration),
 }
 
 /// An owner that has been replaced without knowing.
@@ -31,7 +31,7 @@
     /// The workers that this owner can't reach.
     pub cut_from: BTreeSet<String>,
     /// Whether this owner can't reach the store. Once it can, its next write shows that it was replaced.
-    pub store_cut: bool,
+    pub store_unreachable: bool,
     /// The time until which this owner is suspended.
     pub suspended_until: Option<Time>,
     /// When this owner was replaced: none of its later writes was committed.
@@ -55,16 +55,21 @@
 
     /// Returns whether this owner must stop: it learned of its successor, or was without the store for too long.
     fn must_stop(&self, now: Time) -> bool {
-        !self.store_cut || now.since(self.replaced_at) > MAX_RENEWAL_WITHOUT_STORE
+        !self.store_unreachable || now.since(self.replaced_at) > MAX_RENEWAL_WITHOUT_STORE
     }
 }
 
 impl World {
     /// Starts a new owner while the previous one continues without the store, disconnected from some workers.
-    pub fn take_over_beside(&mut self, epoch: u64, in_flight: InFlight, cut_from: &[&str]) {
+    pub fn take_over_beside_predecessor(
+        &mut self,
+        epoch: u64,
+        in_flight: InFlight,
+        cut_from: &[&str],
+    ) {
         let mut events = mem::take(&mut self.order_answers);
         let batches = mem::take(&mut self.batches);
-        if let InFlight::Kept(answered_after) = in_flight {
+        if let InFlight::Committed(answered_after) = in_flight {
             for (_, batch, records) in batches {
                 records.into_iter().for_each(|record| self.apply_record(record));
                 events.push_back((self.now + answered_after, Event::Committed(batch)));
@@ -73,7 +78,7 @@
         let mut polls = Vec::new();
         for worker in self.workers.values_mut() {
             let open_polls =
-                mem::take(&mut worker.earlier_polls).into_iter().chain(worker.open_poll.take());
+                mem::take(&mut worker.earlier_polls).into_iter().chain(worker.current_poll.take());
             let entry = &worker.entry;
             polls.extend(
                 open_polls
@@ -85,7 +90,7 @@
         self.predecessor = Some(Predecessor {
             scheduler,
             cut_from: cut_from.iter().map(|&id| id.to_owned()).collect(),
-            store_cut: true,
+            store_unreachable: true,
             suspended_until: None,
             replaced_at: self.now,
             polls,
--- a/crates/kitetrail-core/tests/fleet/processor.rs
+++ b/crates/kitetrail-core/tests/fleet/processor.rs
@@ -17,7 +17,7 @@
     /// The additional processor time for each end of a run in a report.
     pub end_cost: Duration,
     /// Whether the scheduler is informed of its lag.
-    pub told_its_lag: bool,
+    pub reports_lag: bool,
     inbox: VecDeque<Event>,
     /// The number of events before the next tick.
     events_before_tick: usize,
@@ -35,7 +35,7 @@
         Self {
             event_cost,
             end_cost: Duration::ZERO,
-            told_its_lag: true,
+            reports_lag: true,
             inbox: VecDeque::new(),
             events_before_tick: 0,
             tick_is_next: false,
@@ -88,7 +88,7 @@
         self.longest_lag = self.longest_lag.max(lag);
         self.last_tick_at = now;
         self.tick_is_next = true;
-        Some(Event::OwnerLagged(if self.told_its_lag { lag } else { Duration::ZERO }))
+        Some(Event::OwnerLagged(if self.reports_lag { lag } else { Duration::ZERO }))
     }
 }
 
--- a/crates/kitetrail-core/tests/fleet/restarts.rs
+++ b/crates/kitetrail-core/tests/fleet/restarts.rs
@@ -51,13 +51,14 @@
         address: String,
     ) -> WorkerEntry {
         let previous = self.workers.remove(id).expect("the fleet has this worker");
-        self.interrupted_polls.extend(previous.open_poll.into_iter().chain(previous.earlier_polls));
+        self.interrupted_polls
+            .extend(previous.current_poll.into_iter().chain(previous.earlier_polls));
         self.restarts += 1;
         let entry =
             WorkerEntry { incarnation: Some(incarnation), address, ..previous.entry.clone() };
         let mut worker = FakeWorker::with_entry(entry);
         worker.clock_ahead_ms = clock_ahead_ms(self.restarts);
-        worker.answers_tell_start = previous.answers_tell_start;
+        worker.answers_contain_incarnation = previous.answers_contain_incarnation;
         self.workers.insert(id.to_owned(), worker);
         previous.entry
     }
--- a/crates/kitetrail-core/tests/fleet/worker.rs
+++ b/crates/kitetrail-core/tests/fleet/worker.rs
@@ -35,25 +35,25 @@
 
 /// The behaviour of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mood {
+pub enum Behaviour {
     /// The worker answers and works.
-    Well,
+    Healthy,
     /// The worker has crashed and not returned. Calls to it fail at once.
-    Down,
+    Crashed,
     /// The worker continues to work, but no call reaches it and no answer comes back.
-    Cut,
+    Partitioned,
     /// The worker answers, but its runs make no progress.
     Hanging,
     /// The worker answers, but each of its runs fails after 100 ms.
     Failing,
     /// The worker does not answer start orders, but carries them out later unless they are no longer valid.
-    Late,
+    AnswersStartsLate,
     /// The worker continues to work. Start orders reach it late, other calls do not, and no answer comes back.
-    Delayed,
+    PartitionedAfterStart,
     /// The worker neither answers nor carries out stop orders.
-    Unstoppable,
+    IgnoresStops,
     /// The worker carries out orders, but its answers to polls arrive so late that they are considered missing.
-    Unread,
+    AnswersPollsLate,
 }
 
 /// A run on a worker.
@@ -95,7 +95,7 @@
     }
 
     /// Returns the progress that the worker reports, in percent.
-    pub fn told_percent(&self) -> u32 {
+    pub fn reported_percent(&self) -> u32 {
         let total_ms = if self.is_long_running { STARTUP_MS } else { self.work_ms };
         (self.done_ms * 100 / total_ms).min(100) as u32
     }
@@ -125,9 +125,9 @@
 pub struct FakeWorker {
     pub entry: WorkerEntry,
     /// The behaviour of the worker.
-    pub mood: Mood,
+    pub behaviour: Behaviour,
     /// Whether the worker has left the list.
-    pub gone: bool,
+    pub unlisted: bool,
     /// The earlier capacities, in thousandths of a core, each with the time at which it changed.
     pub earlier_cores: Vec<(Time, u32)>,
     pub running: BTreeMap<TaskName, Running>,
@@ -136,25 +136,25 @@
     /// The lead of the worker's clock over the owner's, in milliseconds.
     pub clock_ahead_ms: u64,
     /// Whether answers to orders contain the incarnation, as reports do.
-    pub answers_tell_start: bool,
+    pub answers_contain_incarnation: bool,
     /// The end of the lease on the worker's clock, in milliseconds.
     pub leased_until_ms: u64,
     /// The acknowledged ends with the times at which they occurred, except those after which the lease expired before
     /// the acknowledgement.
     pub acknowledged_ends: Vec<(Time, RunEnd)>,
     /// The poll that waits for an answer, with the time at which it was sent.
-    pub open_poll: Option<(InstanceNo, Poll, Time)>,
+    pub current_poll: Option<(InstanceNo, Poll, Time)>,
     /// Earlier polls that still wait: an owner may hold two instances of a worker at the same time.
     pub earlier_polls: Vec<(InstanceNo, Poll, Time)>,
     /// The delay after which a late worker carries out orders.
-    pub late_by: Duration,
+    pub order_delay: Duration,
     deferred: VecDeque<DeferredOrder>,
     /// The ends in a late answer, with the time of its arrival and the instance to which it belongs.
-    pub late_ends: Option<(Time, InstanceNo, Vec<RunEnd>)>,
+    pub late_answer: Option<(Time, InstanceNo, Vec<RunEnd>)>,
     /// The tasks that this worker completed.
-    pub done: Vec<TaskName>,
+    pub completed: Vec<TaskName>,
     /// The number of runs whose lease expired.
-    pub lapsed: u32,
+    pub expired_runs: u32,
     next_end_number: u64,
     /// The times of the ends that are not acknowledged, by number.
     end_times: BTreeMap<u64, Time>,
@@ -185,23 +185,23 @@
     pub fn with_entry(entry: WorkerEntry) -> Self {
         Self {
             entry,
-            mood: Mood::Well,
-            gone: false,
+            behaviour: Behaviour::Healthy,
+            unlisted: false,
             earlier_cores: Vec::new(),
             running: BTreeMap::new(),
             ended: Vec::new(),
             token: 0,
             clock_ahead_ms: 0,
-            answers_tell_start: false,
+            answers_contain_incarnation: false,
             leased_until_ms: 0,
             acknowledged_ends: Vec::new(),
-            open_poll: None,
+            current_poll: None,
             earlier_polls: Vec::new(),
-            late_by: DEFAULT_ORDER_DELAY,
+            order_delay: DEFAULT_ORDER_DELAY,
             deferred: VecDeque::new(),
-            late_ends: None,
-            done: Vec::new(),
-            lapsed: 0,
+            late_answer: None,
+            completed: Vec::new(),
+            expired_runs: 0,
             next_end_number: 1,
             end_times: BTreeMap::new(),
             last_reported_end: 0,
@@ -210,7 +210,7 @@
 
     /// Crashes the worker: it loses its runs and ends, and no longer answers.
     pub fn crash(&mut self) {
-        self.mood = Mood::Down;
+        self.behaviour = Behaviour::Crashed;
         self.running.clear();
         self.ended.clear();
     }
@@ -260,7 +260,7 @@
                 }
             }
         }
-        let incarnation = self.entry.incarnation.filter(|_| self.answers_tell_start);
+        let incarnation = self.entry.incarnation.filter(|_| self.answers_contain_incarnation);
         OrderAnswer::Done { clock_ms, incarnation }
     }
 
@@ -284,7 +284,7 @@
     }
 
     /// Returns whether deferred orders remain.
-    pub fn has_late_orders(&self) -> bool {
+    pub fn has_deferred_orders(&self) -> bool {
         !self.deferred.is_empty()
     }
 
@@ -307,16 +307,19 @@
         (instance, poll, sent_at): (InstanceNo, Poll, Time),
         tail_ms: fn(&FakeWorker) -> u32,
     ) -> Option<Result<Report, PollFailure>> {
-        if self.mood == Mood::Down {
+        if self.behaviour == Behaviour::Crashed {
             return Some(Err(PollFailure::Unanswered));
         }
         let waited = now.since(sent_at);
-        if matches!(self.mood, Mood::Cut | Mood::Delayed | Mood::Unread) {
+        if matches!(
+            self.behaviour,
+            Behaviour::Partitioned | Behaviour::PartitionedAfterStart | Behaviour::AnswersPollsLate
+        ) {
             if !is_timed_out(&poll, waited) {
                 return None;
             }
-            if self.mood == Mood::Unread {
-                self.late_ends = Some((now + LATE_ANSWER_DELAY, instance, self.ended.clone()));
+            if self.behaviour == Behaviour::AnswersPollsLate {
+                self.late_answer = Some((now + LATE_ANSWER_DELAY, instance, self.ended.clone()));
             }
             return Some(Err(PollFailure::Unanswered));
         }
@@ -360,7 +363,7 @@
             task,
             run: running.run,
             checkpoint: Some(format!("{task}@{}", running.done_ms)),
-            percent: running.told_percent(),
+            percent: running.reported_percent(),
             gauge: Some(match running.is_serving {
                 true => tail_ms,
                 false => running.cpu_millis * u32::from(running.percent) / 100,
@@ -376,27 +379,31 @@
 
     /// Advances the worker by one step of the clock.
     pub fn work(&mut self, now: Time) {
-        let lapsed = self.leased_until_ms <= self.clock_ms(now);
-        if lapsed {
+        let expired = self.leased_until_ms <= self.clock_ms(now);
+        if expired {
             self.end_times.clear();
         }
-        if !self.running.is_empty() && lapsed {
+        if !self.running.is_empty() && expired {
             for task in self.running.keys().copied().collect::<Vec<_>>() {
                 self.end(now, task, RunResult::Lapsed);
             }
         }
-        let mood = self.mood;
-        for running in
-            self.running.values_mut().filter(|run| mood != Mood::Hanging && !run.waits_for_gang)
+        let behaviour = self.behaviour;
+        for running in self
+            .running
+            .values_mut()
+            .filter(|run| behaviour != Behaviour::Hanging && !run.waits_for_gang)
         {
             running.done_ms += STEP.as_millis() as u64 * u64::from(running.percent) / 100;
         }
         for running in self.running.values_mut().filter(|running| running.waits_for_gang) {
             running.waited_ms += STEP.as_millis() as u64;
         }
-        let ended_runs = self.running.iter().filter_map(|(&task, running)| match mood {
+        let ended_runs = self.running.iter().filter_map(|(&task, running)| match behaviour {
             _ if running.waited_ms >= GANG_TIMEOUT_MS => Some((task, RunResult::Alone)),
-            Mood::Failing if running.done_ms >= FAILS_AFTER_MS => Some((task, RunResult::Failed)),
+            Behaviour::Failing if running.done_ms >= FAILS_AFTER_MS => {
+                Some((task, RunResult::Failed))
+            }
             _ if running.done_ms >= running.work_ms => Some((task, RunResult::Done)),
             _ => None,
         });
@@ -418,8 +425,8 @@
     fn end(&mut self, now: Time, task: TaskName, how: RunResult) {
         let Some(running) = self.running.remove(&task) else { return };
         match how {
-            RunResult::Done => self.done.push(task),
-            RunResult::Lapsed => self.lapsed += 1,
+            RunResult::Done => self.completed.push(task),
+            RunResult::Lapsed => self.expired_runs += 1,
             _ => {}
         }
         let checkpoint = Some(format!("{task}@{}", running.done_ms));
--- a/crates/kitetrail-core/tests/jobs.rs
+++ b/crates/kitetrail-core/tests/jobs.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use fleet::{DAY_UNIX_MS, Mood, TOKEN_OF_LATER_OWNER, World, job, step, task};
+use fleet::{Behaviour, DAY_UNIX_MS, TOKEN_OF_LATER_OWNER, World, job, step, task};
 use kitetrail_core::{
     Resources,
     jobs::{
@@ -93,7 +93,7 @@
     world.submit(1, job(vec![step(1)]));
     world.run_ms(500);
     let cut_off = world.worker_of(task(1, 0, 0));
-    world.worker(&cut_off).mood = Mood::Cut;
+    world.worker(&cut_off).behaviour = Behaviour::Partitioned;
     let cut_at = world.now;
     // The simulated fleet panics if two runs of a task overlap.
     world.run_until("the task starts on another worker", |world| world.starts.len() == 2);
@@ -106,17 +106,17 @@
 fn start_order_carried_out_late_does_not_run_the_task_twice() {
     let mut world = World::new(3);
     world.work_ms = Some(5_000);
-    world.set_moods(Mood::Late);
+    world.set_behaviours(Behaviour::AnswersStartsLate);
     world.submit(1, job(vec![step(4)]));
     world.run_ms(400);
-    world.set_moods(Mood::Well);
+    world.set_behaviours(Behaviour::Healthy);
     world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
 }
 
 #[test]
 fn task_that_reaches_the_limit_of_failed_runs_fails_its_job() {
     let mut world = World::new(3);
-    world.set_moods(Mood::Failing);
+    world.set_behaviours(Behaviour::Failing);
     world.submit(1, job(vec![step(1)]));
     world.run_until("the job fails", |world| world.state(1) == Some(JobState::Failed));
     assert_eq!(world.starts.len(), 3, "not the number of runs that the queue allows");
@@ -127,7 +127,7 @@
 #[test]
 fn worker_whose_runs_all_fail_is_quarantined() {
     let mut world = World::new(4);
-    world.worker("w0").mood = Mood::Failing;
+    world.worker("w0").behaviour = Behaviour::Failing;
     for id in 0..12 {
         world.submit(id, job(vec![step(1)]));
         world.run_ms(150);
@@ -145,7 +145,7 @@
 #[test]
 fn worker_is_quarantined_once_for_runs_that_fail_together() {
     let mut world = World::new(1);
-    world.worker("w0").mood = Mood::Failing;
+    world.worker("w0").behaviour = Behaviour::Failing;
     // Eight runs fail in one report. At one time each run after the first doubled the quarantine
     // time.
     world.submit(
@@ -153,7 +153,7 @@
         job(vec![StepSpec { long_running: true, size: Resources::new(400, 64, 0), ..step(8) }]),
     );
     world.run_ms(1_000);
-    world.worker("w0").mood = Mood::Well;
+    world.worker("w0").behaviour = Behaviour::Healthy;
     let starts_before = world.starts.len();
     world.run_ms(2_000);
     assert_eq!(
@@ -187,7 +187,7 @@
     world.submit(1, job(vec![step(3)]));
     world.run_ms(500);
     let cut_off = world.worker_of(task(1, 0, 1));
-    world.worker(&cut_off).mood = Mood::Cut;
+    world.worker(&cut_off).behaviour = Behaviour::Partitioned;
     world.take_over(2, true);
     world.run_ms(2_000);
     assert_eq!(world.starts.len(), 3, "a task was restarted before its lease had expired");
@@ -207,8 +207,8 @@
     world.submit(1, job(vec![step(3)]));
     world.run_ms(500);
     let left = world.worker_of(task(1, 0, 1));
-    world.worker(&left).mood = Mood::Cut;
-    world.worker(&left).gone = true;
+    world.worker(&left).behaviour = Behaviour::Partitioned;
+    world.worker(&left).unlisted = true;
     // The previous owner was lost without notice, and its box answers again as another process.
     world.take_over(2, false);
     world.run_ms(600);
@@ -226,8 +226,8 @@
     world.submit(1, job(vec![step(3)]));
     world.run_ms(500);
     let cut_off = world.worker_of(task(1, 0, 1));
-    world.worker(&cut_off).mood = Mood::Cut;
-    world.worker(&cut_off).gone = true;
+    world.worker(&cut_off).behaviour = Behaviour::Partitioned;
+    world.worker(&cut_off).unlisted = true;
     world.take_over(2, false);
     world.run_ms(11_000);
     assert_eq!(
@@ -250,7 +250,7 @@
     // before the worker's lease has expired.
     world.run_ms(3_000);
     assert_eq!(world.starts.len(), 3);
-    world.worker(&crashed).gone = true;
+    world.worker(&crashed).unlisted = true;
     world.take_over(2, false);
     world.run_ms(4_500);
     assert_eq!(world.starts.len(), 4, "waited for leases that the previous owner could not renew");
@@ -264,13 +264,13 @@
     world.run_ms(500);
     let unreachable = world.worker_of(task(1, 0, 0));
     for _ in 0..5 {
-        world.worker(&unreachable).mood = Mood::Down;
+        world.worker(&unreachable).behaviour = Behaviour::Crashed;
         world.run_ms(2_300);
-        world.worker(&unreachable).mood = Mood::Well;
+        world.worker(&unreachable).behaviour = Behaviour::Healthy;
         world.run_ms(1_500);
     }
     assert_eq!(world.starts.len(), 2, "restarted although its lease was renewed in time");
-    assert!(world.workers.values().all(|worker| worker.lapsed == 0));
+    assert!(world.workers.values().all(|worker| worker.expired_runs == 0));
     // The worker gets new work again.
     world.submit(2, job(vec![step(6)]));
     world.run_until("all tasks run", |world| world.starts.len() == 8);
@@ -284,7 +284,7 @@
     world.submit(1, job(vec![step(3)]));
     world.run_ms(500);
     let cut_off = world.worker_of(task(1, 0, 1));
-    world.worker(&cut_off).mood = Mood::Cut;
+    world.worker(&cut_off).behaviour = Behaviour::Partitioned;
     world.take_over(2, false);
     world.run_ms(11_000);
     assert_eq!(
@@ -326,7 +326,7 @@
     world.submit(1, job(vec![StepSpec { copies_allowed: true, ..step(1) }]));
     world.run_ms(500);
     let cut_off = world.worker_of(task(1, 0, 0));
-    world.worker(&cut_off).mood = Mood::Cut;
+    world.worker(&cut_off).behaviour = Behaviour::Partitioned;
     let cut_at = world.now;
     world.run_until("a copy starts", |world| world.starts.len() == 2);
     assert!(world.now.since(cut_at) < Duration::from_millis(3_000));
@@ -340,7 +340,7 @@
     world.submit(1, job(vec![StepSpec { keeps_progress: true, ..step(2) }]));
     world.run_ms(500);
     let hanging = world.worker_of(task(1, 0, 0));
-    world.worker(&hanging).mood = Mood::Hanging;
+    world.worker(&hanging).behaviour = Behaviour::Hanging;
     world.run_until("the task runs on another worker", |world| {
         world.where_runs(task(1, 0, 0)).first().is_some_and(|worker| *worker != hanging)
     });
@@ -434,7 +434,7 @@
     world.submit(1, job(vec![step(1)]));
     world.run_ms(300);
     let worker = world.worker_of(task(1, 0, 0));
-    world.worker(&worker).mood = Mood::Unread;
+    world.worker(&worker).behaviour = Behaviour::AnswersPollsLate;
     world.run_ms(12_000);
     assert_eq!(world.starts.len(), 1, "restarted although a late report said that it was done");
     assert_eq!(world.state(1), Some(JobState::Completed));
@@ -444,14 +444,14 @@
 fn queued_orders_are_dropped_once_the_worker_is_draining() {
     let mut world = World::new(1);
     world.run_ms(200);
-    world.set_moods(Mood::Cut);
+    world.set_behaviours(Behaviour::Partitioned);
     world.submit(1, job(vec![step(3)]));
     world.run_ms(100);
     let worker = world.worker("w0");
     worker.entry.draining = true;
     let entry = Box::new(worker.entry.clone());
     world.tell(Event::WorkerListChanged(vec![WorkerListChange::Listed(entry)]));
-    world.set_moods(Mood::Well);
+    world.set_behaviours(Behaviour::Healthy);
     world.run_ms(3_000);
     assert!(world.starts.is_empty(), "{:?}", world.starts);
 }
--- a/crates/kitetrail-core/tests/jobs_cancelled.rs
+++ b/crates/kitetrail-core/tests/jobs_cancelled.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use fleet::{Mood, World, job, step, task};
+use fleet::{Behaviour, World, job, step, task};
 use kitetrail_core::jobs::{JobState, StepSpec};
 
 /// The time by which a task must have stopped after a cancellation, or after a later start, in
@@ -21,8 +21,8 @@
 /// the worker, so that no higher token invalidates the start.
 fn world_with_delayed_start(late_ms: u64) -> World {
     let mut world = World::new(1);
-    world.worker("w0").mood = Mood::Delayed;
-    world.worker("w0").late_by = Duration::from_millis(late_ms);
+    world.worker("w0").behaviour = Behaviour::PartitionedAfterStart;
+    world.worker("w0").order_delay = Duration::from_millis(late_ms);
     world.submit(1, job(vec![long_running_step(1)]));
     world.run_ms(50);
     world
@@ -34,7 +34,7 @@
     world.cancel(1);
     world.run_until("the late start is carried out", |world| !world.starts.is_empty());
     assert_eq!(world.state(1), Some(JobState::Cancelled));
-    world.worker("w0").mood = Mood::Well;
+    world.worker("w0").behaviour = Behaviour::Healthy;
     world.run_ms(STOPPED_WITHIN_MS);
     assert!(world.where_runs(task(1, 0, 0)).is_empty(), "the task still runs");
 }
@@ -44,7 +44,7 @@
     let mut world = world_with_delayed_start(2_500);
     world.cancel(1);
     // The worker sees a higher token before it would carry out the start.
-    world.worker("w0").mood = Mood::Well;
+    world.worker("w0").behaviour = Behaviour::Healthy;
     world.run_ms(6_000);
     assert!(world.starts.is_empty(), "the task was started although its job was cancelled");
 }
@@ -54,14 +54,14 @@
     let mut world = world_with_delayed_start(1_500);
     world.cancel(1);
     world.run_until("the late start is carried out", |world| !world.starts.is_empty());
-    world.worker("w0").mood = Mood::Unstoppable;
+    world.worker("w0").behaviour = Behaviour::IgnoresStops;
     world.run_ms(1_000);
     assert_eq!(
         world.where_runs(task(1, 0, 0)),
         ["w0"],
         "the stop was carried out although stops are lost"
     );
-    world.worker("w0").mood = Mood::Well;
+    world.worker("w0").behaviour = Behaviour::Healthy;
     world.run_ms(STOPPED_WITHIN_MS);
     assert!(world.where_runs(task(1, 0, 0)).is_empty(), "the task still runs");
 }
@@ -81,7 +81,7 @@
             world.cancel(1);
         }
         world.run_until("the late start is carried out", |world| !world.starts.is_empty());
-        world.worker("w0").mood = Mood::Well;
+        world.worker("w0").behaviour = Behaviour::Healthy;
         world.run_ms(STOPPED_WITHIN_MS);
         let runs = world.where_runs(task(1, 0, 0));
         assert!(
@@ -100,7 +100,7 @@
     world.take_over(2, true);
     // The worker answers the next owner while it is idle. After that it gets a poll only every few
     // seconds.
-    world.worker("w0").mood = Mood::Well;
+    world.worker("w0").behaviour = Behaviour::Healthy;
     world.run_ms(8_000);
     assert!(world.starts.is_empty(), "the start of a removed owner was carried out");
 }
@@ -110,18 +110,18 @@
     let mut world = World::new(1);
     world.submit(1, job(vec![long_running_step(1)]));
     world.run_until("the task runs", |world| !world.starts.is_empty());
-    world.worker("w0").mood = Mood::Cut;
+    world.worker("w0").behaviour = Behaviour::Partitioned;
     world.cancel(1);
     world.run_ms(50);
     world.take_over(2, true);
-    world.worker("w0").mood = Mood::Unstoppable;
+    world.worker("w0").behaviour = Behaviour::IgnoresStops;
     world.run_ms(1_000);
     assert_eq!(
         world.where_runs(task(1, 0, 0)),
         ["w0"],
         "the stop was carried out although stops are lost"
     );
-    world.worker("w0").mood = Mood::Well;
+    world.worker("w0").behaviour = Behaviour::Healthy;
     world.run_ms(STOPPED_WITHIN_MS);
     assert!(world.where_runs(task(1, 0, 0)).is_empty(), "the task still runs");
 }
@@ -133,13 +133,13 @@
     for late_ms in [2_500, 6_000] {
         let mut world = World::new(2);
         world.work_ms = Some(500);
-        world.set_moods(Mood::Late);
+        world.set_behaviours(Behaviour::AnswersStartsLate);
         for worker in world.workers.values_mut() {
-            worker.late_by = Duration::from_millis(late_ms);
+            worker.order_delay = Duration::from_millis(late_ms);
         }
         world.submit(1, job(vec![step(1)]));
         world.run_ms(50);
-        world.set_moods(Mood::Well);
+        world.set_behaviours(Behaviour::Healthy);
         world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
         world.run_ms(8_000);
         assert_eq!(world.starts.len(), 1, "start late by {late_ms} ms");
@@ -152,18 +152,18 @@
     for (late_ms, starts) in [(3_000, 2), (8_000, 1)] {
         let mut world = World::new(2);
         world.work_ms = Some(500);
-        world.set_moods(Mood::Delayed);
+        world.set_behaviours(Behaviour::PartitionedAfterStart);
         for worker in world.workers.values_mut() {
-            worker.late_by = Duration::from_millis(late_ms);
+            worker.order_delay = Duration::from_millis(late_ms);
         }
         world.submit(1, job(vec![step(1)]));
         world.run_ms(50);
         // The worker with the late start stays cut off. The simulated fleet panics if two runs
         // overlap.
-        let late_worker = world.workers.iter().find(|(_, worker)| worker.has_late_orders());
+        let late_worker = world.workers.iter().find(|(_, worker)| worker.has_deferred_orders());
         let late_worker = late_worker.map(|(id, _)| id.clone()).unwrap();
-        world.set_moods(Mood::Well);
-        world.worker(&late_worker).mood = Mood::Cut;
+        world.set_behaviours(Behaviour::Healthy);
+        world.worker(&late_worker).behaviour = Behaviour::Partitioned;
         world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
         let completed_at = world.now;
         world.run_ms(10_000);
--- a/crates/kitetrail-core/tests/jobs_crashing.rs
+++ b/crates/kitetrail-core/tests/jobs_crashing.rs
@@ -20,7 +20,7 @@
 use rand::{Rng, SeedableRng, seq::SliceRandom};
 use rand_chacha::ChaCha8Rng;
 
-use fleet::{Mood, World, job, step, task};
+use fleet::{Behaviour, World, job, step, task};
 use kitetrail_core::{
     Resources, Time,
     jobs::{JobId, JobState, StepSpec},
@@ -93,7 +93,7 @@
 
 /// Returns the ids of the healthy workers in random order.
 fn shuffled_healthy_workers(world: &World, rng: &mut ChaCha8Rng) -> Vec<String> {
-    let healthy = world.workers.iter().filter(|(_, worker)| worker.mood == Mood::Well);
+    let healthy = world.workers.iter().filter(|(_, worker)| worker.behaviour == Behaviour::Healthy);
     let mut ids = healthy.map(|(id, _)| id.clone()).collect::<Vec<_>>();
     ids.shuffle(rng);
     ids
@@ -168,7 +168,7 @@
     }
     world.run_ms(5_000);
     assert_eq!(world.state(1), Some(JobState::Running));
-    assert_eq!(world.crashes_noticed(), 0);
+    assert_eq!(world.counted_crashes(), 0);
 }
 
 #[test]
@@ -214,7 +214,8 @@
         world.run_until("the task runs", |world| !world.where_runs(name).is_empty());
         world.run_ms(50);
         let worker = world.worker_of(name);
-        let healthy = world.workers.iter().filter(|(_, worker)| worker.mood == Mood::Well);
+        let healthy =
+            world.workers.iter().filter(|(_, worker)| worker.behaviour == Behaviour::Healthy);
         let others = healthy.map(|(id, _)| id.clone()).filter(|id| *id != worker).take(5);
         for id in others.collect::<Vec<_>>().iter().chain([&worker]) {
             world.crash(id);
@@ -339,7 +340,7 @@
     for seed in (0..60).chain([117, 273, 321, 329, 401, 753, 770, 799, 820, 933, 959, 1119]) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut world = World::new(16);
-        world.crashes.back_after = Duration::from_millis(rng.random_range(1_000..12_000));
+        world.crashes.return_delay = Duration::from_millis(rng.random_range(1_000..12_000));
         world.submit(200, job(vec![long_running_step(6)]));
         let mut epoch = 1;
         for id in 1..=4 {
--- a/crates/kitetrail-core/tests/jobs_evacuation.rs
+++ b/crates/kitetrail-core/tests/jobs_evacuation.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use fleet::{Mood, World, job, step, task};
+use fleet::{Behaviour, World, job, step, task};
 use kitetrail_core::{
     Resources,
     jobs::{EffectsRecord, Event, JobState, LogEntry, ServingEffects, StepSpec},
@@ -54,7 +54,7 @@
 /// Returns the number of long-running tasks that are at work at present.
 fn at_work_count(world: &World) -> usize {
     let runs = world.workers.values().flat_map(|worker| worker.running.values());
-    runs.filter(|run| run.is_long_running && run.told_percent() == 100).count()
+    runs.filter(|run| run.is_long_running && run.reported_percent() == 100).count()
 }
 
 fn long_running(count: u32, max_unavailable: Option<u32>) -> StepSpec {
@@ -118,11 +118,11 @@
 #[test]
 fn unsent_starts_go_to_another_zone() {
     let mut world = two_zones(2);
-    world.worker("w0").mood = Mood::Cut;
+    world.worker("w0").behaviour = Behaviour::Partitioned;
     world.submit(1, job(vec![step(8)]));
     world.run_ms(100);
     evacuate(&mut world, &["a"]);
-    world.worker("w0").mood = Mood::Well;
+    world.worker("w0").behaviour = Behaviour::Healthy;
     world.run_until("the job completes", |world| is_completed(world, 1));
     assert_eq!(start_count(&world, "a"), 0, "{:?}", world.starts);
 }
@@ -130,7 +130,7 @@
 #[test]
 fn unsent_starts_of_a_silent_worker_do_not_wait_for_its_lease() {
     let mut world = two_zones(2);
-    world.worker("w0").mood = Mood::Cut;
+    world.worker("w0").behaviour = Behaviour::Partitioned;
     world.submit(1, job(vec![step(6)]));
     world.run_ms(100);
     evacuate(&mut world, &["a"]);
@@ -151,8 +151,8 @@
     world.run_ms(500);
     evacuate(&mut world, &["a"]);
     let before = start_count(&world, "a");
-    world.worker("w1").mood = Mood::Cut;
-    world.worker("w0").mood = Mood::Failing;
+    world.worker("w1").behaviour = Behaviour::Partitioned;
+    world.worker("w0").behaviour = Behaviour::Failing;
     world.run_until("all jobs complete", |world| is_completed(world, 1) && is_completed(world, 2));
     assert_eq!(start_count(&world, "a"), before);
 }
@@ -301,12 +301,12 @@
 #[test]
 fn partly_ordered_gang_starts_whole_in_another_zone() {
     let mut world = two_zones(4);
-    world.worker("w0").mood = Mood::Cut;
+    world.worker("w0").behaviour = Behaviour::Partitioned;
     world.submit(1, job(vec![StepSpec { gang: true, max_per_worker: Some(2), ..step(4) }]));
     world.run_ms(50);
     evacuate(&mut world, &["a"]);
     let before = start_count(&world, "a");
-    world.worker("w0").mood = Mood::Well;
+    world.worker("w0").behaviour = Behaviour::Healthy;
     world.run_until("the job completes", |world| is_completed(world, 1));
     assert_eq!(start_count(&world, "a"), before);
     let last = world.starts.iter().map(|(_, _, run, _)| *run).max();
@@ -320,18 +320,22 @@
     Evacuate([bool; 2]),
     TakeOver { stopped: bool },
     Crash(u32),
-    Mood(u32, Mood),
+    Behaviour(u32, Behaviour),
     Submit { tasks: u32, long_running: bool, copies_allowed: bool, keeps_progress: bool },
 }
 
 fn operations() -> impl Strategy<Value = Vec<(u64, Operation)>> {
-    let mood = prop_oneof![Just(Mood::Well), Just(Mood::Cut), Just(Mood::Late)];
+    let behaviour = prop_oneof![
+        Just(Behaviour::Healthy),
+        Just(Behaviour::Partitioned),
+        Just(Behaviour::AnswersStartsLate)
+    ];
     let submit = (1..8_u32, any::<bool>(), any::<bool>(), any::<bool>());
     let step = prop_oneof![
         4 => any::<[bool; 2]>().prop_map(Operation::Evacuate),
         1 => any::<bool>().prop_map(|stopped| Operation::TakeOver { stopped }),
         1 => (0..6_u32).prop_map(Operation::Crash),
-        1 => (0..6_u32, mood).prop_map(|(worker_no, mood)| Operation::Mood(worker_no, mood)),
+        1 => (0..6_u32, behaviour).prop_map(|(worker_no, behaviour)| Operation::Behaviour(worker_no, behaviour)),
         4 => submit.prop_map(|(tasks, long_running, copies_allowed, keeps_progress)| {
             Operation::Submit { tasks, long_running, copies_allowed, keeps_progress }
         }),
@@ -371,9 +375,9 @@
                 self.world.reborn(&id, &new_id);
                 self.world.list_all();
             }
-            Operation::Mood(worker_no, mood) => {
+            Operation::Behaviour(worker_no, behaviour) => {
                 let id = self.world.workers.keys().nth(worker_no as usize).unwrap().clone();
-                self.world.worker(&id).mood = mood;
+                self.world.worker(&id).behaviour = behaviour;
             }
             Operation::Submit { tasks, long_running, copies_allowed, keeps_progress } => {
                 let id = self.jobs.len() as u64 + 1;
@@ -415,7 +419,7 @@
             run.run_ms(ms);
         }
         run.take(Operation::Evacuate([false, false]));
-        run.world.set_moods(Mood::Well);
+        run.world.set_behaviours(Behaviour::Healthy);
         let jobs_that_end = run.jobs.iter().filter(|(_, long_running)| !long_running).map(|(id, _)| *id);
         let jobs_that_end = jobs_that_end.collect::<Vec<_>>();
         for (id, _) in run.jobs.iter().filter(|(_, long_running)| *long_running) {
--- a/crates/kitetrail-core/tests/jobs_incarnations.rs
+++ b/crates/kitetrail-core/tests/jobs_incarnations.rs
@@ -106,7 +106,7 @@
         world.submit(1, job(vec![step(1)]));
         world.run_ms(500);
         // The worker crashes while its answer is in transit.
-        let (instance, poll, sent_at) = world.worker("w0").open_poll.take().unwrap();
+        let (instance, poll, sent_at) = world.worker("w0").current_poll.take().unwrap();
         let report = Report {
             incarnation: None,
             clock_ms: world.now.as_ms(),
--- a/crates/kitetrail-core/tests/jobs_overload.rs
+++ b/crates/kitetrail-core/tests/jobs_overload.rs
@@ -5,7 +5,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use fleet::{Mood, Processor, World, job, step, task};
+use fleet::{Behaviour, Processor, World, job, step, task};
 use kitetrail_core::{
     Resources, Time,
     jobs::{Event, JobRequestId, JobState, StepSpec},
@@ -42,8 +42,8 @@
     }
 
     /// Returns the number of runs that lost their lease.
-    fn lapsed(&self) -> u32 {
-        self.world.workers.values().map(|worker| worker.lapsed).sum()
+    fn expired_runs(&self) -> u32 {
+        self.world.workers.values().map(|worker| worker.expired_runs).sum()
     }
 
     /// Returns the number of callers who had no answer within the time that boxes wait.
@@ -58,7 +58,7 @@
     /// Panics if an accepted job is not completed, or a task ran to its end more than once.
     fn check_each_task_done_once(&self) {
         let mut done = BTreeMap::new();
-        for name in self.world.workers.values().flat_map(|worker| &worker.done) {
+        for name in self.world.workers.values().flat_map(|worker| &worker.completed) {
             *done.entry(*name).or_insert(0) += 1;
         }
         for id in self.accepted() {
@@ -74,7 +74,7 @@
 fn run_overloaded(factor: u32, measures_lag: bool) -> LoadResult {
     let mut world = World::new(WORKERS);
     let mut processor = Processor::new(EVENT_COST, world.now);
-    processor.told_its_lag = measures_lag;
+    processor.reports_lag = measures_lag;
     world.processor = Some(processor);
     let mut jobs = Vec::new();
     for at_ms in (0..25_000).step_by(SUBMIT_INTERVAL_MS as usize) {
@@ -98,7 +98,7 @@
     for factor in [1, 2, 3, 5, 8, 12, 20, 30] {
         let result = run_overloaded(factor, true);
         result.check_each_task_done_once();
-        assert_eq!(result.lapsed(), 0, "factor {factor}: leases are renewed in time");
+        assert_eq!(result.expired_runs(), 0, "factor {factor}: leases are renewed in time");
         let lag = result.world.scheduler.lag();
         assert!(lag < Duration::from_millis(100), "factor {factor}: lag of {lag:?} at the end");
     }
@@ -240,7 +240,7 @@
     world.run_ms(1_500);
     assert!(!is_halted(&world), "halted before its tail was above its target for long enough");
     let mut slow_processor = Processor::new(Duration::from_millis(50), world.now);
-    slow_processor.told_its_lag = false;
+    slow_processor.reports_lag = false;
     world.processor = Some(slow_processor);
     let size = Resources::new(100, 100, 0);
     world.submit(3, job(vec![StepSpec { size, ..step(24) }]));
@@ -254,13 +254,13 @@
 /// reads none of them.
 fn leave_answers_unread(world: &mut World, lag: Duration) {
     let busy = world.workers.values_mut().filter(|worker| !worker.running.is_empty());
-    busy.for_each(|worker| worker.mood = Mood::Unread);
+    busy.for_each(|worker| worker.behaviour = Behaviour::AnswersPollsLate);
     for _ in 0..600 {
         world.tell(Event::OwnerLagged(lag));
         world.run_ms(10);
-        world.workers.values_mut().for_each(|worker| worker.late_ends = None);
+        world.workers.values_mut().for_each(|worker| worker.late_answer = None);
     }
-    world.set_moods(Mood::Well);
+    world.set_behaviours(Behaviour::Healthy);
 }
 
 #[test]
@@ -285,7 +285,7 @@
     world.submit(1, job(vec![StepSpec { long_running: true, ..step(2) }]));
     world.run_ms(300);
     let id = world.worker_of(task(1, 0, 0));
-    world.worker(&id).mood = Mood::Cut;
+    world.worker(&id).behaviour = Behaviour::Partitioned;
     world.run_ms(6_000);
     let runs_on_another_worker =
         world.where_runs(task(1, 0, 0)).into_iter().any(|other| other != id);
--- a/crates/kitetrail-core/tests/jobs_restarted.rs
+++ b/crates/kitetrail-core/tests/jobs_restarted.rs
@@ -21,7 +21,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use fleet::{DAY_UNIX_MS, Mood, World, job, step, task};
+use fleet::{Behaviour, DAY_UNIX_MS, World, job, step, task};
 use kitetrail_core::{
     Resources,
     jobs::{
@@ -65,7 +65,7 @@
     for id in ["w0", "w1", "w2", "w3"] {
         world.restart(id);
     }
-    world.set_moods(Mood::Failing);
+    world.set_behaviours(Behaviour::Failing);
     world.submit(10, job(vec![step(1)]));
     world.run_ms(250);
     world.list_all();
@@ -100,7 +100,7 @@
     for answers_report_start in [true, false] {
         let mut world = used_fleet(4);
         for worker in world.workers.values_mut() {
-            worker.answers_tell_start = answers_report_start;
+            worker.answers_contain_incarnation = answers_report_start;
         }
         for id in ["w0", "w1", "w2", "w3"] {
             world.restart(id);
@@ -120,7 +120,7 @@
         world.list_all();
         world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
         assert_eq!(world.starts.len(), 12, "{answers_report_start}: {:?}", world.starts);
-        assert_eq!(world.crashes_noticed(), 0, "nothing was running when the workers restarted");
+        assert_eq!(world.counted_crashes(), 0, "nothing was running when the workers restarted");
     }
 }
 
@@ -165,11 +165,11 @@
     world.submit(10, job(vec![step(1)]));
     world.run_until("the task runs", |world| world.starts.len() == 1);
     let worker_id = world.worker_of(task(10, 0, 0));
-    world.worker(&worker_id).mood = Mood::Unread;
+    world.worker(&worker_id).behaviour = Behaviour::AnswersPollsLate;
     world.run_until("the task is done", |world| {
-        world.workers[&worker_id].done.contains(&task(10, 0, 0))
+        world.workers[&worker_id].completed.contains(&task(10, 0, 0))
     });
-    let (instance, poll, sent_at) = world.worker(&worker_id).open_poll.unwrap();
+    let (instance, poll, sent_at) = world.worker(&worker_id).current_poll.unwrap();
     let ended = world.worker(&worker_id).ended.clone();
     let before = world.worker(&worker_id).entry.incarnation;
     world.restart(&worker_id);
@@ -187,7 +187,7 @@
     // receives the next poll after that has ended.
     for (answers_report_start, order_answers_take_ms) in [(true, 0), (false, 0), (false, 300)] {
         let mut world = used_fleet(1);
-        world.worker("w0").answers_tell_start = answers_report_start;
+        world.worker("w0").answers_contain_incarnation = answers_report_start;
         world.submit(10, job(vec![step(1)]));
         let end_is_read = |world: &World| world.state(10) == Some(JobState::Completed);
         world.run_until("its end is read", end_is_read);
@@ -261,20 +261,20 @@
 
 #[test]
 fn a_job_whose_task_crashes_the_same_worker_repeatedly_fails() {
-    for back_after_ms in [50, 300, 3_000] {
+    for return_delay_ms in [50, 300, 3_000] {
         let mut world = World::new(2);
         world.tell_incarnations();
-        world.crashes.same_id = true;
-        world.crashes.back_after = Duration::from_millis(back_after_ms);
+        world.crashes.keeps_name = true;
+        world.crashes.return_delay = Duration::from_millis(return_delay_ms);
         world.make_crashing(task(1, 0, 0));
         world.submit(1, job(vec![step(1)]));
         world.run_ms(60_000);
         let starts = world.starts_after_third_crash(task(1, 0, 0));
         assert!(
             starts <= 2,
-            "{starts} starts after the third crash, restarted after {back_after_ms} ms"
+            "{starts} starts after the third crash, restarted after {return_delay_ms} ms"
         );
-        assert_eq!(world.state(1), Some(JobState::Failed), "restarted after {back_after_ms} ms");
+        assert_eq!(world.state(1), Some(JobState::Failed), "restarted after {return_delay_ms} ms");
     }
 }
 
@@ -289,7 +289,7 @@
     let runs_there = |world: &World| !world.workers["w0"].running.is_empty();
     world.run_until("a task runs there", runs_there);
     world.run_ms(60);
-    world.worker("w0").mood = Mood::Cut;
+    world.worker("w0").behaviour = Behaviour::Partitioned;
     world.run_ms(5_500);
     world.lapse("w0");
     world.run_ms(10_000);
@@ -425,10 +425,12 @@
             world.store_down = false;
         }
         8 => {
-            let mood = [Mood::Unread, Mood::Late, Mood::Cut][rng.random_range(0..3)];
-            world.worker(&id).mood = mood;
+            let behaviour =
+                [Behaviour::AnswersPollsLate, Behaviour::AnswersStartsLate, Behaviour::Partitioned]
+                    [rng.random_range(0..3)];
+            world.worker(&id).behaviour = behaviour;
             world.run_ms(rng.random_range(0..2_000));
-            world.worker(&id).mood = Mood::Well;
+            world.worker(&id).behaviour = Behaviour::Healthy;
         }
         9 => {
             world.worker(&id).entry.draining = true;
@@ -467,7 +469,7 @@
         world.tell_incarnations();
         let answers_report_start = rng.random_bool(0.5);
         for worker in world.workers.values_mut() {
-            worker.answers_tell_start = answers_report_start;
+            worker.answers_contain_incarnation = answers_report_start;
         }
         let (mut epoch, mut stale) = (1, Vec::new());
         world.work_ms = Some(rng.random_range(50..1_500));
--- a/crates/kitetrail-core/tests/jobs_shrinking.rs
+++ b/crates/kitetrail-core/tests/jobs_shrinking.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use fleet::{FakeWorker, Mood, World, job, step, task};
+use fleet::{Behaviour, FakeWorker, World, job, step, task};
 use kitetrail_core::{
     Resources,
     jobs::{JobState, StepSpec},
@@ -28,10 +28,10 @@
     let mut world = World::new(1);
     world.work_ms = Some(5_000);
     // The first start is not answered, so the others wait until its outcome is known.
-    world.worker("w0").mood = Mood::Late;
+    world.worker("w0").behaviour = Behaviour::AnswersStartsLate;
     world.submit(1, job(vec![step(4)]));
     world.run_ms(50);
-    world.worker("w0").mood = Mood::Well;
+    world.worker("w0").behaviour = Behaviour::Healthy;
     world.set_cores("w0", 1_000);
     world.run_ms(4_000);
     assert!(cores_in_use(&world, "w0") <= 1, "{} tasks on one core", cores_in_use(&world, "w0"));
@@ -101,8 +101,8 @@
         for round in 0..60 {
             let id = format!("w{}", rng.random_range(0..6));
             match rng.random_range(0..4) {
-                0 => world.worker(&id).mood = Mood::Late,
-                1 => world.worker(&id).mood = Mood::Well,
+                0 => world.worker(&id).behaviour = Behaviour::AnswersStartsLate,
+                1 => world.worker(&id).behaviour = Behaviour::Healthy,
                 _ => world.set_cores(&id, rng.random_range(0..9) * 500),
             }
             if rng.random_bool(0.5) {
@@ -114,7 +114,7 @@
             }
             world.run_ms(rng.random_range(10..900));
         }
-        world.set_moods(Mood::Well);
+        world.set_behaviours(Behaviour::Healthy);
         for worker_no in 0..6 {
             world.set_cores(&format!("w{worker_no}"), 4_000);
         }
--- a/crates/kitetrail-core/tests/jobs_two_owners.rs
+++ b/crates/kitetrail-core/tests/jobs_two_owners.rs
@@ -5,7 +5,7 @@
 
 use std::{env, ops::Range, time::Duration};
 
-use fleet::{InFlight, Mood, World, job, step, task};
+use fleet::{Behaviour, InFlight, World, job, step, task};
 use kitetrail_core::jobs::{JobId, JobState, StepSpec};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -20,7 +20,7 @@
     world.run_ms(2_000);
     world.store_down = false;
     world.cut_from = owner_side.map(str::to_owned).into();
-    world.take_over_beside(2, in_flight, &successor_side);
+    world.take_over_beside_predecessor(2, in_flight, &successor_side);
 }
 
 /// Ends the partition.
@@ -28,7 +28,7 @@
     world.cut_from.clear();
     if let Some(predecessor) = &mut world.predecessor {
         predecessor.cut_from.clear();
-        predecessor.store_cut = false;
+        predecessor.store_unreachable = false;
     }
     world.list_all();
 }
@@ -87,7 +87,7 @@
     // A write is in flight when the owner is cut off, and its answer arrives after the leases have expired.
     world.store_takes = Duration::from_millis(60_000);
     world.submit(2, job(vec![step(1)]));
-    partition(&mut world, InFlight::Kept(Duration::from_millis(3_500)));
+    partition(&mut world, InFlight::Committed(Duration::from_millis(3_500)));
     world.store_takes = Duration::from_millis(10);
     world.run_ms(5_500);
     end_partition(&mut world);
@@ -152,10 +152,10 @@
     *epoch += 1;
     let in_flight = match rng.random_bool(0.5) {
         true => InFlight::Lost,
-        false => InFlight::Kept(Duration::from_millis(rng.random_range(0..6_000))),
+        false => InFlight::Committed(Duration::from_millis(rng.random_range(0..6_000))),
     };
     let from_first = from_first.iter().map(String::as_str).collect::<Vec<_>>();
-    world.take_over_beside(*epoch, in_flight, &from_first);
+    world.take_over_beside_predecessor(*epoch, in_flight, &from_first);
     if rng.random_bool(0.4) {
         let suspended = Duration::from_millis(rng.random_range(0..9_000));
         let until = world.now + suspended;
@@ -174,10 +174,12 @@
             world.list(entry);
         }
         1 => {
-            let mood = [Mood::Unread, Mood::Late, Mood::Cut][rng.random_range(0..3)];
-            world.worker(&id).mood = mood;
+            let behaviour =
+                [Behaviour::AnswersPollsLate, Behaviour::AnswersStartsLate, Behaviour::Partitioned]
+                    [rng.random_range(0..3)];
+            world.worker(&id).behaviour = behaviour;
             world.run_ms(rng.random_range(0..2_000));
-            world.worker(&id).mood = Mood::Well;
+            world.worker(&id).behaviour = Behaviour::Healthy;
         }
         2 => {
             // The owner reaches some workers again before it learns of the successor from the store.
--- a/crates/kitetrail-core/tests/jobs_unlisted.rs
+++ b/crates/kitetrail-core/tests/jobs_unlisted.rs
@@ -4,7 +4,7 @@
 
 mod fleet;
 
-use fleet::{FakeWorker, Mood, World, job, step, task};
+use fleet::{Behaviour, FakeWorker, World, job, step, task};
 use kitetrail_core::jobs::{Event, JobId, JobState, StepSpec, WorkerListChange};
 
 /// The minimum time that a worker keeps running after its entry is gone, in milliseconds.
@@ -133,7 +133,7 @@
     let (mut world, worker_id) =
         fleet_running(3, StepSpec { max_unavailable: Some(1), ..long_running_step(2) });
     let other = world.worker_of(task(1, 0, 1));
-    world.worker(&other).mood = Mood::Cut;
+    world.worker(&other).behaviour = Behaviour::Partitioned;
     // By now the worker is silent, but its lease has not expired.
     world.run_ms(2_000);
     world.unlist(&worker_id);
@@ -160,7 +160,7 @@
 #[test]
 fn a_new_owner_moves_tasks_off_workers_missing_from_the_complete_list() {
     let (mut world, worker_id) = fleet_running(2, long_running_step(1));
-    world.worker(&worker_id).gone = true;
+    world.worker(&worker_id).unlisted = true;
     world.take_over(2, true);
     world.run_ms(1_000);
     assert_eq!(
@@ -176,7 +176,7 @@
 #[test]
 fn a_new_owner_gives_workers_time_to_return_after_a_store_outage() {
     let (mut world, worker_id) = fleet_running(2, long_running_step(1));
-    world.worker(&worker_id).gone = true;
+    world.worker(&worker_id).unlisted = true;
     world.take_over(2, true);
     world.trouble_store();
     world.tell(Event::WorkerListChanged(vec![WorkerListChange::Complete]));
--- a/crates/kitetrail-core/tests/jobs_unusable.rs
+++ b/crates/kitetrail-core/tests/jobs_unusable.rs
@@ -3,7 +3,7 @@
 
 mod fleet;
 
-use fleet::{Mood, World, job, queue, step, task};
+use fleet::{Behaviour, World, job, queue, step, task};
 use kitetrail_core::jobs::{Event, JobId, JobState, QueueTerms, StepSpec, WorkerEntry};
 
 /// Returns a step of long-running tasks.
@@ -51,7 +51,7 @@
     world.run_until("all tasks run", |world| world.starts.len() == 3);
     let id = world.worker_of(task(1, 0, 0));
     let orders = start_orders_to(&world, &id);
-    world.worker(&id).gone = true;
+    world.worker(&id).unlisted = true;
     world.take_over(2, true);
     world.list_unusable(&id);
     world.run_ms(10_000);
@@ -69,7 +69,7 @@
     world.run_until("the task runs", |world| world.starts.len() == 1);
     let id = world.worker_of(task(1, 0, 0));
     world.list_unusable(&id);
-    world.worker(&id).mood = Mood::Cut;
+    world.worker(&id).behaviour = Behaviour::Partitioned;
     world.run_ms(10_000);
     assert_eq!(world.starts.len(), 2);
     assert!(world.where_runs(task(1, 0, 0)).iter().all(|&other| other != id));
@@ -78,11 +78,11 @@
 #[test]
 fn a_waiting_start_order_is_cancelled_when_the_entry_becomes_unusable() {
     let mut world = World::new(1);
-    world.worker("w0").mood = Mood::Late;
+    world.worker("w0").behaviour = Behaviour::AnswersStartsLate;
     world.submit(1, job(vec![step(2)]));
     world.run_until("the first order is sent", |world| !world.start_orders.is_empty());
     world.list_unusable("w0");
-    world.worker("w0").mood = Mood::Well;
+    world.worker("w0").behaviour = Behaviour::Healthy;
     world.run_ms(5_000);
     let second = world.start_orders.iter().filter(|(_, task_name, _)| *task_name == task(1, 0, 1));
     assert_eq!(second.count(), 0);
