--- a/crates/kitetrail-core/examples/owner_cost.rs
+++ b/crates/kitetrail-core/examples/owner_cost.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use fleet::{FakeWorker, World, job};
+use fleet::{FakeWorker, SimulatedFleet, job};
 use kitetrail_core::{
     Resources,
     jobs::{StepSpec, WorkerEntry},
@@ -55,23 +55,31 @@
 struct Counters {
     starts: usize,
     events: u64,
-    spent: Duration,
+    handling_time: Duration,
     allocations: u64,
     polls: u64,
     stale_answers: u64,
 }
 
 impl Counters {
-    fn of(world: &World) -> Self {
-        let &World { events, spent, allocations, polls, stale_answers, .. } = world;
-        Self { starts: world.starts.len(), events, spent, allocations, polls, stale_answers }
+    fn of(world: &SimulatedFleet) -> Self {
+        let &SimulatedFleet { events, handling_time, allocations, polls, stale_answers, .. } =
+            world;
+        Self {
+            starts: world.starts.len(),
+            events,
+            handling_time,
+            allocations,
+            polls,
+            stale_answers,
+        }
     }
 }
 
 fn report(workers: u32, before: &Counters, after: &Counters) {
     let starts = (after.starts - before.starts) as f64;
     let events = (after.events - before.events) as f64;
-    let spent_us = (after.spent - before.spent).as_secs_f64() * 1e6;
+    let spent_us = (after.handling_time - before.handling_time).as_secs_f64() * 1e6;
     println!(
         "workers {workers} us_per_start {:.1} us_per_event {:.2} allocations_per_start {:.1} \
          starts_per_s {:.0} holds_per_start {:.2} stale_per_start {:.2} cores {:.3}",
@@ -87,7 +95,7 @@
 
 /// A simulated fleet and the generator of its jobs.
 struct Load {
-    world: World,
+    world: SimulatedFleet,
     rng: ChaCha8Rng,
     workers: f64,
     build_factor: f64,
@@ -98,7 +106,7 @@
 
 impl Load {
     fn new(workers: u32, build_factor: f64) -> Self {
-        let mut world = World::with_workers((0..workers).map(worker));
+        let mut world = SimulatedFleet::with_workers((0..workers).map(worker));
         world.tail_ms = |worker| {
             let best_effort = worker.running.values().filter(|run| !run.is_serving);
             let used =
@@ -117,7 +125,7 @@
         for _ in 0..(load.workers * WATCHERS_PER_WORKER) as u32 {
             let spec = load.watcher();
             load.submit_job(vec![spec]);
-            load.world.run_ms(10);
+            load.world.advance_ms(10);
         }
         load
     }
@@ -138,7 +146,7 @@
                 let second = StepSpec { depends_on: vec![0], ..self.build() };
                 self.submit_job(vec![first, second]);
             }
-            self.world.run_ms(SUBMIT_INTERVAL_MS);
+            self.world.advance_ms(SUBMIT_INTERVAL_MS);
         }
     }
 
--- a/crates/kitetrail-core/tests/fleet/crashes.rs
+++ b/crates/kitetrail-core/tests/fleet/crashes.rs
@@ -7,7 +7,7 @@
     jobs::{Event, LogEntry, TaskName, WorkerListChange},
 };
 
-use super::{Behaviour, World};
+use super::{Behaviour, SimulatedFleet};
 
 /// The default time until a crashed worker returns.
 const DEFAULT_RETURN_DELAY: Duration = Duration::from_millis(3_000);
@@ -50,7 +50,7 @@
     }
 }
 
-impl World {
+impl SimulatedFleet {
     /// Makes a task crash each of its workers after 10 ms of work.
     pub fn make_crashing(&mut self, name: TaskName) {
         self.make_crashing_after(name, Duration::from_millis(10));
@@ -99,10 +99,10 @@
             };
             match self.crashes.keeps_name {
                 true => drop(self.restart(&id)),
-                false => drop(self.reborn(&id, &new_id)),
+                false => drop(self.replace_instance(&id, &new_id)),
             }
             let entry = self.worker(&new_id).entry.clone();
-            self.list(entry);
+            self.report_listed(entry);
         }
         for id in take_due(&mut self.crashes.expiring, now) {
             let has_returned =
@@ -112,7 +112,7 @@
             }
             let silent_for = Some(EXPIRY_DELAY);
             let removal = WorkerListChange::Removed { id: id.as_str().into(), silent_for };
-            self.tell(Event::WorkerListChanged(vec![removal]));
+            self.send_event(Event::WorkerListChanged(vec![removal]));
         }
     }
 
--- a/crates/kitetrail-core/tests/fleet/mod.rs
+++ b/crates/kitetrail-core/tests/fleet/mod.rs
@@ -35,7 +35,7 @@
 use worker::{Work, answer_unreachable_poll};
 
 /// The Unix time at which the virtual clock is zero, in milliseconds.
-pub const DAY_UNIX_MS: u64 = 1_780_000_000_000;
+pub const CLOCK_ZERO_UNIX_MS: u64 = 1_780_000_000_000;
 /// A fencing token of the owner with epoch 9. Tokens of an owner start at 2^20 times its epoch.
 pub const TOKEN_OF_LATER_OWNER: u64 = 9 << 20;
 /// One step of the virtual clock.
@@ -46,7 +46,7 @@
 const DEFAULT_STORE_LATENCY: Duration = Duration::from_millis(10);
 
 /// A simulated fleet.
-pub struct World {
+pub struct SimulatedFleet {
     pub now: Time,
     pub scheduler: Scheduler,
     pub workers: BTreeMap<String, FakeWorker>,
@@ -70,7 +70,7 @@
     /// The polls whose connection broke when their worker crashed.
     interrupted_polls: Vec<(InstanceNo, Poll, Time)>,
     /// The delay of answers to orders.
-    pub order_answers_take: Duration,
+    pub order_answer_delay: Duration,
     order_answers: VecDeque<(Time, Event)>,
     /// The number of restarts of workers under their ids.
     restarts: u64,
@@ -79,16 +79,16 @@
     /// Whether the store is unavailable.
     pub store_down: bool,
     /// The time that the store takes to commit a batch.
-    pub store_takes: Duration,
+    pub store_latency: Duration,
     /// The work of a task, in milliseconds, if it differs from its estimate.
-    pub work_ms: Option<u64>,
+    pub task_duration_ms: Option<u64>,
     /// The time after which a long-running task ends on its own, in milliseconds.
-    pub lasting_ms: u64,
+    pub long_running_ms: u64,
     /// The tail latency that a serving task reports, in milliseconds, depending on the tasks that fill its worker.
     pub tail_ms: fn(&FakeWorker) -> u32,
     pub deposed: bool,
     /// The workers that the owner can't reach.
-    pub cut_from: BTreeSet<String>,
+    pub unreachable_workers: BTreeSet<String>,
     /// The previous owner, while it does not know that it was replaced.
     pub predecessor: Option<Predecessor>,
     /// The processor time of the owner, if it is limited.
@@ -101,7 +101,7 @@
     /// The number of answers to polls that reported only ends reported before.
     pub stale_answers: u64,
     /// The real time that the scheduler spent on events.
-    pub spent: Duration,
+    pub handling_time: Duration,
     /// The number of memory allocations of the scheduler.
     pub allocations: u64,
     batches: VecDeque<(Time, u64, Vec<Record>)>,
@@ -111,7 +111,7 @@
     submitted_jobs: BTreeMap<JobRequestId, JobId>,
 }
 
-impl World {
+impl SimulatedFleet {
     /// Creates a fleet of workers with four cores each, and a scheduler that knows them.
     pub fn new(workers: u32) -> Self {
         Self::with_workers((0..workers).map(FakeWorker::new))
@@ -136,32 +136,32 @@
             replaced_instances: BTreeSet::new(),
             polls_to_replaced_instances: Vec::new(),
             interrupted_polls: Vec::new(),
-            order_answers_take: Duration::ZERO,
+            order_answer_delay: Duration::ZERO,
             order_answers: VecDeque::new(),
             restarts: 0,
             acknowledged_ends: AcknowledgedEnds::default(),
             store_down: false,
-            store_takes: DEFAULT_STORE_LATENCY,
-            work_ms: None,
-            lasting_ms: 600_000,
+            store_latency: DEFAULT_STORE_LATENCY,
+            task_duration_ms: None,
+            long_running_ms: 600_000,
             tail_ms: |_| 10,
             deposed: false,
-            cut_from: BTreeSet::new(),
+            unreachable_workers: BTreeSet::new(),
             predecessor: None,
             processor: None,
             events: 0,
             polls: 0,
             polls_by_worker: BTreeMap::new(),
             stale_answers: 0,
-            spent: Duration::ZERO,
+            handling_time: Duration::ZERO,
             allocations: 0,
             batches: VecDeque::new(),
             next_request: 0,
             specs: BTreeMap::new(),
             submitted_jobs: BTreeMap::new(),
         };
-        world.list_all();
-        world.run_ms(200);
+        world.report_all_listed();
+        world.advance_ms(200);
         world
     }
 
@@ -174,14 +174,14 @@
         self.specs.insert(JobId(id), spec.clone());
         self.submitted_jobs.insert(request, JobId(id));
         let (job, queue) = (JobId(id), queue());
-        self.tell(Event::Submit { request, job, queue, spec: Box::new(spec) });
+        self.send_event(Event::Submit { request, job, queue, spec: Box::new(spec) });
         request
     }
 
     /// Cancels a job.
     pub fn cancel(&mut self, id: u64) -> JobRequestId {
         let request = self.request();
-        self.tell(Event::Cancel { request, job: JobId(id) });
+        self.send_event(Event::Cancel { request, job: JobId(id) });
         request
     }
 
@@ -206,7 +206,7 @@
     }
 
     /// Returns when a request was answered.
-    pub fn answered(&self, request: JobRequestId) -> Option<Time> {
+    pub fn answered_at(&self, request: JobRequestId) -> Option<Time> {
         let answers_request = |action: &Action| match action {
             Action::AnswerSubmit(no, _) | Action::AnswerCancel(no, _) => *no == request,
             _ => false,
@@ -215,7 +215,7 @@
     }
 
     /// Returns whether a submission was refused, `None` if it has no answer yet.
-    pub fn refused(&self, request: JobRequestId) -> Option<bool> {
+    pub fn is_refused(&self, request: JobRequestId) -> Option<bool> {
         self.answers.iter().find_map(|(_, action)| match action {
             Action::AnswerSubmit(no, answer) if *no == request => {
                 Some(*answer == SubmitAnswer::Refused)
@@ -230,7 +230,7 @@
     }
 
     /// Advances the clock.
-    pub fn run_ms(&mut self, ms: u64) {
+    pub fn advance_ms(&mut self, ms: u64) {
         let until = self.now + Duration::from_millis(ms);
         while self.now < until {
             self.now = self.now + STEP;
@@ -240,17 +240,17 @@
             self.step_predecessor();
             match self.processor.is_some() {
                 true => self.handle_queued_events(),
-                false => self.tell(Event::Tick),
+                false => self.send_event(Event::Tick),
             }
         }
     }
 
     /// Advances the clock until a condition holds. Panics if it does not hold within a minute.
-    pub fn run_until(&mut self, condition: &str, holds: impl Fn(&World) -> bool) {
+    pub fn advance_until(&mut self, condition: &str, holds: impl Fn(&SimulatedFleet) -> bool) {
         let until = self.now + Duration::from_secs(60);
         while !holds(self) {
             assert!(self.now < until, "not within a minute: {condition}");
-            self.run_ms(10);
+            self.advance_ms(10);
         }
     }
 
@@ -266,17 +266,17 @@
 
     /// Returns the worker that runs a task. Panics if no worker does.
     pub fn worker_of(&self, name: TaskName) -> String {
-        self.where_runs(name)[0].to_owned()
+        self.workers_running(name)[0].to_owned()
     }
 
     /// Returns the workers that run a task.
-    pub fn where_runs(&self, name: TaskName) -> Vec<&str> {
+    pub fn workers_running(&self, name: TaskName) -> Vec<&str> {
         let runs = self.workers.iter().filter(|(_, worker)| worker.running.contains_key(&name));
         runs.map(|(id, _)| id.as_str()).collect()
     }
 
     /// Sends an event to the scheduler, which handles it at once or when its processor time allows.
-    pub fn tell(&mut self, event: Event) {
+    pub fn send_event(&mut self, event: Event) {
         match &mut self.processor {
             Some(processor) => processor.enqueue(event),
             None => self.handle_event(event),
@@ -294,13 +294,13 @@
 
     /// Lets the scheduler handle an event and performs its actions.
     fn handle_event(&mut self, event: Event) {
-        let unix_ms = DAY_UNIX_MS + self.now.as_ms();
+        let unix_ms = CLOCK_ZERO_UNIX_MS + self.now.as_ms();
         let started = Instant::now();
         let mut actions = Vec::new();
         let measured = allocation_counter::measure(|| {
             actions = self.scheduler.handle(event, self.now, unix_ms);
         });
-        self.spent += started.elapsed();
+        self.handling_time += started.elapsed();
         self.allocations += measured.count_total;
         self.events += 1;
         for action in actions {
@@ -318,16 +318,16 @@
         match action {
             Action::Order { instance, entry, token, lease_until_ms, order } => {
                 let answer = match self.listens_at(&entry)
-                    && !self.cut_from.contains(entry.id.as_str())
+                    && !self.unreachable_workers.contains(entry.id.as_str())
                 {
                     true => self.deliver_order(entry.id.as_str(), token, lease_until_ms, &order),
                     false => OrderAnswer::Unanswered,
                 };
                 let answered = Event::OrderAnswered { instance, order, answer };
-                match self.order_answers_take.is_zero() {
-                    true => self.tell(answered),
+                match self.order_answer_delay.is_zero() {
+                    true => self.send_event(answered),
                     false => {
-                        let at = self.now + self.order_answers_take;
+                        let at = self.now + self.order_answer_delay;
                         self.order_answers.push_back((at, answered));
                     }
                 }
@@ -342,7 +342,7 @@
             }
             Action::Commit { batch, records } => {
                 assert!(records.len() <= MAX_BATCH_RECORDS, "{} records in a batch", records.len());
-                self.batches.push_back((self.now + self.store_takes, batch, records));
+                self.batches.push_back((self.now + self.store_latency, batch, records));
             }
             Action::Log(entry) => self.log_entries.push((self.now, entry)),
             Action::Deposed => self.deposed = true,
@@ -407,8 +407,10 @@
         let spec = self.specs.get(&name.job).map(|spec| &spec.steps[name.step as usize]);
         Work {
             work_ms: match spec.is_some_and(|step| step.long_running) {
-                true => self.lasting_ms,
-                false => self.work_ms.or(spec.map(|step| step.estimate_ms)).unwrap_or(1_000),
+                true => self.long_running_ms,
+                false => {
+                    self.task_duration_ms.or(spec.map(|step| step.estimate_ms)).unwrap_or(1_000)
+                }
             },
             cpu_millis: spec.map_or(0, |step| step.size.cpu_millis.0),
             is_serving: spec.is_some_and(|step| step.tail_target_ms.is_some()),
@@ -474,7 +476,7 @@
         }
         self.mark_waiting_gangs();
         for (id, worker) in &mut self.workers {
-            let is_cut = self.cut_from.contains(id);
+            let is_cut = self.unreachable_workers.contains(id);
             worker.work(now);
             for start in worker.carry_out_deferred(now) {
                 self.starts.push((now, start.task, start.run, id.clone()));
@@ -501,7 +503,7 @@
             }
         }
         for answer in answers {
-            self.tell(answer);
+            self.send_event(answer);
         }
         self.check_single_runs();
         self.check_acknowledged_ends();
--- a/crates/kitetrail-core/tests/fleet/owners.rs
+++ b/crates/kitetrail-core/tests/fleet/owners.rs
@@ -7,23 +7,23 @@
     jobs::{Event, InheritedState, JobRecord, Record, Scheduler, SchedulerSettings},
 };
 
-use super::{DAY_UNIX_MS, World};
+use super::{CLOCK_ZERO_UNIX_MS, SimulatedFleet};
 
 /// The time for which an owner may renew leases without the store.
 pub(super) const MAX_RENEWAL_WITHOUT_STORE: Duration = Duration::from_secs(12);
 
-impl World {
+impl SimulatedFleet {
     /// Replaces the scheduler with that of a new owner, as after the death of the previous one.
     pub fn take_over(&mut self, epoch: u64, earlier_owners_stopped: bool) {
         self.replace_scheduler(epoch, earlier_owners_stopped);
-        self.list_all();
+        self.report_all_listed();
     }
 
     /// Like [`Self::take_over`], with an event that the new scheduler handles before it knows any worker.
     pub fn take_over_with(&mut self, epoch: u64, earlier_owners_stopped: bool, first: Event) {
         self.replace_scheduler(epoch, earlier_owners_stopped);
-        self.tell(first);
-        self.list_all();
+        self.send_event(first);
+        self.report_all_listed();
     }
 
     /// Replaces the scheduler with that of a new owner, which knows no worker yet.
@@ -62,7 +62,7 @@
             for record in records {
                 self.apply_record(record);
             }
-            self.tell(Event::Committed(batch));
+            self.send_event(Event::Committed(batch));
         }
     }
 
@@ -91,5 +91,5 @@
         ended_job_retention: Duration::from_secs(120),
         worker_heartbeat: Duration::from_millis(1_100),
     };
-    Scheduler::new(settings, epoch, inheritance, now, DAY_UNIX_MS + now.as_ms())
+    Scheduler::new(settings, epoch, inheritance, now, CLOCK_ZERO_UNIX_MS + now.as_ms())
 }
--- a/crates/kitetrail-core/tests/fleet/predecessor.rs
+++ b/crates/kitetrail-core/tests/fleet/predecessor.rs
@@ -12,7 +12,8 @@
 };
 
 use super::{
-    DAY_UNIX_MS, World, owners::MAX_RENEWAL_WITHOUT_STORE, worker::answer_unreachable_poll,
+    CLOCK_ZERO_UNIX_MS, SimulatedFleet, owners::MAX_RENEWAL_WITHOUT_STORE,
+    worker::answer_unreachable_poll,
 };
 
 /// The outcome of a batch that was in flight during a takeover.
@@ -29,7 +30,7 @@
 pub struct Predecessor {
     scheduler: Scheduler,
     /// The workers that this owner can't reach.
-    pub cut_from: BTreeSet<String>,
+    pub unreachable_workers: BTreeSet<String>,
     /// Whether this owner can't reach the store. Once it can, its next write shows that it was replaced.
     pub store_unreachable: bool,
     /// The time until which this owner is suspended.
@@ -42,7 +43,7 @@
 
 impl Predecessor {
     fn reaches(&self, entry: &WorkerEntry) -> bool {
-        !self.cut_from.contains(entry.id.as_str())
+        !self.unreachable_workers.contains(entry.id.as_str())
     }
 
     /// Removes the events that are due and returns them in order.
@@ -59,13 +60,13 @@
     }
 }
 
-impl World {
+impl SimulatedFleet {
     /// Starts a new owner while the previous one continues without the store, disconnected from some workers.
     pub fn take_over_beside_predecessor(
         &mut self,
         epoch: u64,
         in_flight: InFlight,
-        cut_from: &[&str],
+        unreachable_workers: &[&str],
     ) {
         let mut events = mem::take(&mut self.order_answers);
         let batches = mem::take(&mut self.batches);
@@ -89,7 +90,7 @@
         let scheduler = mem::replace(&mut self.scheduler, successor);
         self.predecessor = Some(Predecessor {
             scheduler,
-            cut_from: cut_from.iter().map(|&id| id.to_owned()).collect(),
+            unreachable_workers: unreachable_workers.iter().map(|&id| id.to_owned()).collect(),
             store_unreachable: true,
             suspended_until: None,
             replaced_at: self.now,
@@ -127,7 +128,7 @@
         }
         events.push(Event::Tick);
         for event in events {
-            let actions = owner.scheduler.handle(event, now, DAY_UNIX_MS + now.as_ms());
+            let actions = owner.scheduler.handle(event, now, CLOCK_ZERO_UNIX_MS + now.as_ms());
             if !actions.into_iter().all(|action| self.perform_for_predecessor(&mut owner, action)) {
                 return;
             }
@@ -144,7 +145,7 @@
                     false => OrderAnswer::Unanswered,
                 };
                 let answered = Event::OrderAnswered { instance, order, answer };
-                owner.events.push_back((self.now + self.order_answers_take, answered));
+                owner.events.push_back((self.now + self.order_answer_delay, answered));
             }
             Action::Poll { instance, entry, poll } => {
                 owner.polls.push((instance, (*entry).clone(), poll, self.now));
--- a/crates/kitetrail-core/tests/fleet/restarts.rs
+++ b/crates/kitetrail-core/tests/fleet/restarts.rs
@@ -7,7 +7,7 @@
     jobs::{Incarnation, JobId, RunResult, TaskName, WorkerEntry},
 };
 
-use super::{DAY_UNIX_MS, FakeWorker, World, queue};
+use super::{CLOCK_ZERO_UNIX_MS, FakeWorker, SimulatedFleet, queue};
 
 /// The lead of a worker's clock over the owner's before any restart, in milliseconds.
 const FIRST_CLOCK_AHEAD_MS: u64 = 500_000_000;
@@ -35,10 +35,10 @@
     }
 }
 
-impl World {
+impl SimulatedFleet {
     /// Restarts a worker at once under its id and address, as after a crash. Returns its previous entry.
     pub fn restart(&mut self, id: &str) -> WorkerEntry {
-        let incarnation = Incarnation(DAY_UNIX_MS + self.now.as_ms());
+        let incarnation = Incarnation(CLOCK_ZERO_UNIX_MS + self.now.as_ms());
         let address = self.worker(id).entry.address.clone();
         self.restart_as(id, incarnation, address)
     }
@@ -64,12 +64,12 @@
     }
 
     /// Makes all workers report when they started.
-    pub fn tell_incarnations(&mut self) {
+    pub fn report_incarnations(&mut self) {
         for worker in self.workers.values_mut() {
-            worker.entry.incarnation = Some(Incarnation(DAY_UNIX_MS));
+            worker.entry.incarnation = Some(Incarnation(CLOCK_ZERO_UNIX_MS));
             worker.clock_ahead_ms = FIRST_CLOCK_AHEAD_MS;
         }
-        self.list_all();
+        self.report_all_listed();
     }
 
     /// Panics if a task is started after acknowledged ends that are final: one completed run, or as many failed runs as the
--- a/crates/kitetrail-core/tests/jobs_acknowledged.rs
+++ b/crates/kitetrail-core/tests/jobs_acknowledged.rs
@@ -19,7 +19,7 @@
 
 use std::time::Duration;
 
-use fleet::{Processor, World, job, step};
+use fleet::{Processor, SimulatedFleet, job, step};
 use kitetrail_core::{Time, jobs::StepSpec};
 
 /// The number of workers, each with room for four tasks.
@@ -47,13 +47,13 @@
 }
 
 /// Submits jobs at a steady rate for some time.
-fn submit_for(world: &mut World, jobs: &mut Vec<SubmittedJob>, duration_ms: u64) {
+fn submit_for(world: &mut SimulatedFleet, jobs: &mut Vec<SubmittedJob>, duration_ms: u64) {
     for _ in 0..duration_ms / SUBMIT_INTERVAL_MS {
         let id = jobs.len() as u64 + 1;
         let submitted_at = world.now;
         world.submit(id, job((0..STEPS).map(chained_step).collect()));
         jobs.push(SubmittedJob { id, submitted_at });
-        world.run_ms(SUBMIT_INTERVAL_MS);
+        world.advance_ms(SUBMIT_INTERVAL_MS);
     }
 }
 
@@ -64,12 +64,12 @@
 }
 
 /// Returns the number of ends that workers retain until they are acknowledged.
-fn unacknowledged(world: &World) -> usize {
+fn unacknowledged(world: &SimulatedFleet) -> usize {
     world.workers.values().map(|worker| worker.ended.len()).sum()
 }
 
 /// Returns the share of the jobs that completed in time, from 0 to 1.
-fn share_in_time(world: &World, jobs: &[SubmittedJob]) -> f64 {
+fn share_in_time(world: &SimulatedFleet, jobs: &[SubmittedJob]) -> f64 {
     let in_time = |job: &&SubmittedJob| {
         world
             .completed_after(job.id, job.submitted_at)
@@ -80,9 +80,9 @@
 
 #[test]
 fn persisted_ends_are_acknowledged_while_other_records_wait() {
-    let mut world = World::new(WORKERS);
+    let mut world = SimulatedFleet::new(WORKERS);
     let mut jobs = Vec::new();
-    world.store_takes = SLOW_STORE;
+    world.store_latency = SLOW_STORE;
     for _ in 0..20 {
         submit_for(&mut world, &mut jobs, 1_000);
         let unacknowledged = unacknowledged(&world);
@@ -96,17 +96,17 @@
 
 #[test]
 fn jobs_complete_in_time_however_long_the_store_is_slow() {
-    let mut world = World::new(WORKERS);
+    let mut world = SimulatedFleet::new(WORKERS);
     let mut processor = Processor::new(Duration::from_micros(250), world.now);
     processor.end_cost = Duration::from_micros(30);
     world.processor = Some(processor);
     let mut jobs = Vec::new();
     submit_for(&mut world, &mut jobs, 3_000);
-    world.store_takes = SLOW_STORE;
+    world.store_latency = SLOW_STORE;
     submit_for(&mut world, &mut jobs, 20_000);
     let late_from = jobs.len();
     submit_for(&mut world, &mut jobs, 10_000);
-    world.run_ms(5_000);
+    world.advance_ms(5_000);
     let (early, late) = (&jobs[..late_from / 2], &jobs[late_from..]);
     assert!(share_in_time(&world, early) >= 0.9, "the owner keeps up with the load at first");
     let served = share_in_time(&world, late);
--- a/crates/kitetrail-core/tests/jobs_evacuation.rs
+++ b/crates/kitetrail-core/tests/jobs_evacuation.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use fleet::{Behaviour, World, job, step, task};
+use fleet::{Behaviour, SimulatedFleet, job, step, task};
 use kitetrail_core::{
     Resources,
     jobs::{EffectsRecord, Event, JobState, LogEntry, ServingEffects, StepSpec},
@@ -18,15 +18,15 @@
 };
 
 /// Returns a fleet whose workers are alternately in zones a and b.
-fn two_zones(workers: u32) -> World {
-    let mut world = World::new(0);
+fn two_zones(workers: u32) -> SimulatedFleet {
+    let mut world = SimulatedFleet::new(0);
     for worker_no in 0..workers {
         let mut worker = fleet::FakeWorker::new(worker_no);
         worker.entry.zone = zone_of(worker_no).to_owned();
         world.workers.insert(format!("w{worker_no}"), worker);
     }
-    world.list_all();
-    world.run_ms(200);
+    world.report_all_listed();
+    world.advance_ms(200);
     world
 }
 
@@ -34,25 +34,25 @@
     if worker.is_multiple_of(2) { "a" } else { "b" }
 }
 
-fn evacuate(world: &mut World, zones: &[&str]) {
+fn evacuate(world: &mut SimulatedFleet, zones: &[&str]) {
     let zones = zones.iter().map(|&zone| zone.to_owned()).collect::<BTreeSet<_>>();
-    world.tell(Event::EvacuatedZonesChanged(zones));
+    world.send_event(Event::EvacuatedZonesChanged(zones));
 }
 
 /// Returns the number of starts in a zone so far.
-fn start_count(world: &World, zone: &str) -> usize {
+fn start_count(world: &SimulatedFleet, zone: &str) -> usize {
     let in_zone = |id: &str| world.workers.get(id).is_some_and(|worker| worker.entry.zone == zone);
     world.starts.iter().filter(|(.., id)| in_zone(id)).count()
 }
 
 /// Returns the number of runs in a zone at present.
-fn run_count(world: &World, zone: &str) -> usize {
+fn run_count(world: &SimulatedFleet, zone: &str) -> usize {
     let in_zone = world.workers.values().filter(|worker| worker.entry.zone == zone);
     in_zone.map(|worker| worker.running.len()).sum()
 }
 
 /// Returns the number of long-running tasks that are at work at present.
-fn at_work_count(world: &World) -> usize {
+fn at_work_count(world: &SimulatedFleet) -> usize {
     let runs = world.workers.values().flat_map(|worker| worker.running.values());
     runs.filter(|run| run.is_long_running && run.reported_percent() == 100).count()
 }
@@ -61,7 +61,7 @@
     StepSpec { long_running: true, max_unavailable, ..step(count) }
 }
 
-fn is_completed(world: &World, job: u64) -> bool {
+fn is_completed(world: &SimulatedFleet, job: u64) -> bool {
     world.state(job) == Some(JobState::Completed)
 }
 
@@ -70,11 +70,11 @@
     let mut world = two_zones(4);
     evacuate(&mut world, &["a"]);
     world.submit(1, job(vec![step(24)]));
-    world.run_until("the job completes", |world| is_completed(world, 1));
+    world.advance_until("the job completes", |world| is_completed(world, 1));
     assert_eq!((start_count(&world, "a"), start_count(&world, "b")), (0, 24));
     evacuate(&mut world, &[]);
     world.submit(2, job(vec![step(16)]));
-    world.run_until("the job completes", |world| is_completed(world, 2));
+    world.advance_until("the job completes", |world| is_completed(world, 2));
     assert_eq!(start_count(&world, "a"), 8);
 }
 
@@ -82,10 +82,10 @@
 fn short_tasks_in_an_evacuated_zone_finish() {
     let mut world = two_zones(4);
     world.submit(1, job(vec![StepSpec { keeps_progress: true, ..step(8) }]));
-    world.run_ms(300);
+    world.advance_ms(300);
     assert!(run_count(&world, "a") > 0);
     evacuate(&mut world, &["a"]);
-    world.run_until("the job completes", |world| is_completed(world, 1));
+    world.advance_until("the job completes", |world| is_completed(world, 1));
     assert_eq!(world.starts.len(), 8, "there is room in the other zone, but no run moves");
 }
 
@@ -93,11 +93,11 @@
 fn new_owner_that_knows_of_the_evacuation_starts_nothing_in_the_zone() {
     let mut world = two_zones(2);
     world.submit(1, job(vec![step(16)]));
-    world.run_ms(300);
+    world.advance_ms(300);
     evacuate(&mut world, &["a"]);
     let before = start_count(&world, "a");
     world.take_over_with(2, true, Event::EvacuatedZonesChanged(["a".to_owned()].into()));
-    world.run_until("the job completes", |world| is_completed(world, 1));
+    world.advance_until("the job completes", |world| is_completed(world, 1));
     assert_eq!(start_count(&world, "a"), before);
 }
 
@@ -109,9 +109,9 @@
     new_worker.entry.zone = "a".to_owned();
     let entry = new_worker.entry.clone();
     world.workers.insert("w2".to_owned(), new_worker);
-    world.list(entry);
+    world.report_listed(entry);
     world.submit(1, job(vec![step(12)]));
-    world.run_until("the job completes", |world| is_completed(world, 1));
+    world.advance_until("the job completes", |world| is_completed(world, 1));
     assert_eq!(start_count(&world, "a"), 0);
 }
 
@@ -120,10 +120,10 @@
     let mut world = two_zones(2);
     world.worker("w0").behaviour = Behaviour::Partitioned;
     world.submit(1, job(vec![step(8)]));
-    world.run_ms(100);
+    world.advance_ms(100);
     evacuate(&mut world, &["a"]);
     world.worker("w0").behaviour = Behaviour::Healthy;
-    world.run_until("the job completes", |world| is_completed(world, 1));
+    world.advance_until("the job completes", |world| is_completed(world, 1));
     assert_eq!(start_count(&world, "a"), 0, "{:?}", world.starts);
 }
 
@@ -132,9 +132,9 @@
     let mut world = two_zones(2);
     world.worker("w0").behaviour = Behaviour::Partitioned;
     world.submit(1, job(vec![step(6)]));
-    world.run_ms(100);
+    world.advance_ms(100);
     evacuate(&mut world, &["a"]);
-    world.run_ms(1_500);
+    world.advance_ms(1_500);
     assert_eq!(
         start_count(&world, "b"),
         5,
@@ -145,15 +145,17 @@
 #[test]
 fn retries_and_copies_go_to_another_zone() {
     let mut world = two_zones(4);
-    world.work_ms = Some(3_000);
+    world.task_duration_ms = Some(3_000);
     world.submit(1, job(vec![StepSpec { copies_allowed: true, ..step(4) }]));
     world.submit(2, job(vec![step(8)]));
-    world.run_ms(500);
+    world.advance_ms(500);
     evacuate(&mut world, &["a"]);
     let before = start_count(&world, "a");
     world.worker("w1").behaviour = Behaviour::Partitioned;
     world.worker("w0").behaviour = Behaviour::Failing;
-    world.run_until("all jobs complete", |world| is_completed(world, 1) && is_completed(world, 2));
+    world.advance_until("all jobs complete", |world| {
+        is_completed(world, 1) && is_completed(world, 2)
+    });
     assert_eq!(start_count(&world, "a"), before);
 }
 
@@ -165,11 +167,11 @@
         worker.entry.rack = format!("r-{}", zone_of(worker_no));
         worker.entry.labels = vec!["plain".to_owned(), worker.entry.rack.clone()];
     }
-    world.list_all();
+    world.report_all_listed();
     evacuate(&mut world, &["a"]);
     let near = StepSpec { near_rack: Some("r-a".to_owned()), ..step(4) };
     world.submit(1, job(vec![near]));
-    world.run_until("the job completes", |world| is_completed(world, 1));
+    world.advance_until("the job completes", |world| is_completed(world, 1));
     assert_eq!(start_count(&world, "a"), 0);
 }
 
@@ -177,13 +179,13 @@
 fn long_running_tasks_move_one_after_the_other() {
     let mut world = two_zones(8);
     world.submit(1, job(vec![long_running(12, Some(2))]));
-    world.run_ms(3_000);
+    world.advance_ms(3_000);
     let in_zone = run_count(&world, "a");
     assert!(in_zone > 0, "some runs must be in the zone");
     evacuate(&mut world, &["a"]);
     let mut fewest_at_work = 12;
     for _ in 0..2_000 {
-        world.run_ms(10);
+        world.advance_ms(10);
         fewest_at_work = fewest_at_work.min(at_work_count(&world));
     }
     assert_eq!(run_count(&world, "a"), 0);
@@ -196,9 +198,9 @@
 fn tasks_of_a_step_that_may_miss_none_stay() {
     let mut world = two_zones(4);
     world.submit(1, job(vec![long_running(4, Some(0))]));
-    world.run_ms(1_000);
+    world.advance_ms(1_000);
     evacuate(&mut world, &["a"]);
-    world.run_ms(5_000);
+    world.advance_ms(5_000);
     assert_eq!(world.starts.len(), 4);
     assert_eq!(run_count(&world, "a") + run_count(&world, "b"), 4);
 }
@@ -207,9 +209,9 @@
 fn long_running_tasks_stay_if_there_is_no_room_in_other_zones() {
     let mut world = two_zones(2);
     world.submit(1, job(vec![long_running(8, None)]));
-    world.run_ms(1_000);
+    world.advance_ms(1_000);
     evacuate(&mut world, &["a"]);
-    world.run_ms(5_000);
+    world.advance_ms(5_000);
     assert_eq!((run_count(&world, "a"), run_count(&world, "b")), (4, 4));
     assert_eq!(world.starts.len(), 8);
 }
@@ -217,13 +219,13 @@
 #[test]
 fn serving_task_does_not_move_beside_a_task_known_to_interfere() {
     let mut world = two_zones(2);
-    world.work_ms = Some(600_000);
+    world.task_duration_ms = Some(600_000);
     let image = |name: &str| Some(name.to_owned());
     world.submit(
         1,
         job(vec![StepSpec { best_effort: true, image: image("disturbing"), ..step(1) }]),
     );
-    world.run_ms(1_000);
+    world.advance_ms(1_000);
     let interfering = ServingEffects {
         image: "sensitive".to_owned(),
         effects: vec![("disturbing".to_owned(), 3.0)],
@@ -231,37 +233,37 @@
     };
     world.effects = EffectsRecord { serving: vec![interfering] };
     world.take_over(2, true);
-    world.run_ms(1_000);
+    world.advance_ms(1_000);
     let serving =
         StepSpec { image: image("sensitive"), tail_target_ms: Some(50), ..long_running(1, None) };
     world.submit(2, job(vec![serving]));
-    world.run_ms(2_000);
+    world.advance_ms(2_000);
     let (serving_worker, best_effort_worker) =
         (world.worker_of(task(2, 0, 0)), world.worker_of(task(1, 0, 0)));
     let zone = world.workers[&serving_worker].entry.zone.clone();
     assert_ne!(serving_worker, best_effort_worker);
     evacuate(&mut world, &[zone.as_str()]);
-    world.run_ms(3_000);
+    world.advance_ms(3_000);
     assert_eq!(
-        world.where_runs(task(2, 0, 0)),
+        world.workers_running(task(2, 0, 0)),
         [serving_worker.as_str()],
         "the serving task moved beside a task known to interfere"
     );
     world.cancel(1);
-    world.run_until("the serving task moves", |world| {
-        world.where_runs(task(2, 0, 0)) == [best_effort_worker.as_str()]
+    world.advance_until("the serving task moves", |world| {
+        world.workers_running(task(2, 0, 0)) == [best_effort_worker.as_str()]
     });
 }
 
 #[test]
 fn long_tasks_that_keep_their_progress_move() {
     let mut world = two_zones(4);
-    world.work_ms = Some(40_000);
+    world.task_duration_ms = Some(40_000);
     world.submit(1, job(vec![StepSpec { keeps_progress: true, estimate_ms: 40_000, ..step(4) }]));
-    world.run_ms(3_000);
+    world.advance_ms(3_000);
     assert!(run_count(&world, "a") > 0, "some runs must be in the zone");
     evacuate(&mut world, &["a"]);
-    world.run_ms(6_000);
+    world.advance_ms(6_000);
     assert_eq!((run_count(&world, "a"), run_count(&world, "b")), (0, 4));
 }
 
@@ -270,10 +272,10 @@
     let mut world = two_zones(2);
     let large_capacity = Resources::new(8_000, 1_024, 0);
     world.worker("w0").entry.capacity = large_capacity;
-    world.list_all();
+    world.report_all_listed();
     evacuate(&mut world, &["a"]);
     world.submit(1, job(vec![StepSpec { size: Resources::new(6_000, 512, 0), ..step(2) }]));
-    world.run_ms(3_000);
+    world.advance_ms(3_000);
     assert!(world.starts.is_empty());
     let is_waiting_entry =
         |(_, entry): &&(_, LogEntry)| matches!(entry, LogEntry::WaitsForZone { .. });
@@ -283,7 +285,7 @@
         "one log entry for the step"
     );
     evacuate(&mut world, &[]);
-    world.run_until("the job completes", |world| is_completed(world, 1));
+    world.advance_until("the job completes", |world| is_completed(world, 1));
 }
 
 #[test]
@@ -291,10 +293,10 @@
     let mut world = two_zones(2);
     evacuate(&mut world, &["a", "b"]);
     world.submit(1, job(vec![step(4)]));
-    world.run_ms(5_000);
+    world.advance_ms(5_000);
     assert!(world.starts.is_empty());
     evacuate(&mut world, &["b"]);
-    world.run_until("the job completes", |world| is_completed(world, 1));
+    world.advance_until("the job completes", |world| is_completed(world, 1));
     assert_eq!(start_count(&world, "b"), 0);
 }
 
@@ -303,11 +305,11 @@
     let mut world = two_zones(4);
     world.worker("w0").behaviour = Behaviour::Partitioned;
     world.submit(1, job(vec![StepSpec { gang: true, max_per_worker: Some(2), ..step(4) }]));
-    world.run_ms(50);
+    world.advance_ms(50);
     evacuate(&mut world, &["a"]);
     let before = start_count(&world, "a");
     world.worker("w0").behaviour = Behaviour::Healthy;
-    world.run_until("the job completes", |world| is_completed(world, 1));
+    world.advance_until("the job completes", |world| is_completed(world, 1));
     assert_eq!(start_count(&world, "a"), before);
     let last = world.starts.iter().map(|(_, _, run, _)| *run).max();
     let together = world.starts.iter().filter(|(_, _, run, _)| Some(*run) == last);
@@ -345,7 +347,7 @@
 
 /// The state of a random run.
 struct RandomRun {
-    world: World,
+    world: SimulatedFleet,
     evacuated: BTreeSet<String>,
     jobs: Vec<(u64, bool)>,
     epoch: u64,
@@ -361,7 +363,7 @@
                     .filter(|(_, is_wanted)| *is_wanted)
                     .map(|(zone, _)| zone.to_owned())
                     .collect();
-                self.world.tell(Event::EvacuatedZonesChanged(self.evacuated.clone()));
+                self.world.send_event(Event::EvacuatedZonesChanged(self.evacuated.clone()));
             }
             Operation::TakeOver { stopped } => {
                 self.epoch += 1;
@@ -372,8 +374,8 @@
                 let id = self.world.workers.keys().nth(worker_no as usize).unwrap().clone();
                 self.restarts += 1;
                 let new_id = format!("x{}", self.restarts);
-                self.world.reborn(&id, &new_id);
-                self.world.list_all();
+                self.world.replace_instance(&id, &new_id);
+                self.world.report_all_listed();
             }
             Operation::Behaviour(worker_no, behaviour) => {
                 let id = self.world.workers.keys().nth(worker_no as usize).unwrap().clone();
@@ -391,9 +393,9 @@
     }
 
     /// Runs the world for `ms`, and checks where tasks were ordered to start.
-    fn run_ms(&mut self, ms: u64) {
+    fn advance_ms(&mut self, ms: u64) {
         let from = self.world.start_orders.len();
-        self.world.run_ms(ms);
+        self.world.advance_ms(ms);
         for (at, name, id) in &self.world.start_orders[from..] {
             let Some(worker) = self.world.workers.get(id) else { continue };
             assert!(!self.evacuated.contains(&worker.entry.zone), "{name} at {at} on {id}");
@@ -416,7 +418,7 @@
         for (ms, operation) in operations {
             // The fleet itself checks after each step of its clock that no task runs twice.
             run.take(operation);
-            run.run_ms(ms);
+            run.advance_ms(ms);
         }
         run.take(Operation::Evacuate([false, false]));
         run.world.set_behaviours(Behaviour::Healthy);
@@ -425,7 +427,7 @@
         for (id, _) in run.jobs.iter().filter(|(_, long_running)| *long_running) {
             run.world.cancel(*id);
         }
-        run.world.run_until("all jobs complete", |world| {
+        run.world.advance_until("all jobs complete", |world| {
             jobs_that_end.iter().all(|&id| world.state(id) == Some(JobState::Completed))
         });
     }
--- a/crates/kitetrail-core/tests/jobs_incarnations.rs
+++ b/crates/kitetrail-core/tests/jobs_incarnations.rs
@@ -3,7 +3,7 @@
 
 mod fleet;
 
-use fleet::{World, job, step, task};
+use fleet::{SimulatedFleet, job, step, task};
 use kitetrail_core::{
     Resources,
     jobs::{Event, JobState, Report, StepSpec, WorkerEntry, WorkerListChange},
@@ -16,43 +16,43 @@
 
 #[test]
 fn late_entry_of_an_earlier_instance_does_not_end_the_current_one() {
-    let mut world = World::new(2);
-    world.work_ms = Some(5_000);
-    let stale = world.reborn("w0", "w0-again");
-    world.list_all();
-    world.run_ms(300);
+    let mut world = SimulatedFleet::new(2);
+    world.task_duration_ms = Some(5_000);
+    let stale = world.replace_instance("w0", "w0-again");
+    world.report_all_listed();
+    world.advance_ms(300);
     world.submit(1, job(vec![whole_worker_step(2)]));
-    world.run_until("both workers are taken", |world| world.starts.len() == 2);
+    world.advance_until("both workers are taken", |world| world.starts.len() == 2);
     // The earlier instance's write reaches the store only now. The simulated fleet panics if two
     // runs overlap.
-    world.list(stale);
-    world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
+    world.report_listed(stale);
+    world.advance_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
     assert_eq!(world.starts.len(), 2, "a running task was restarted");
 }
 
 #[test]
 fn worker_gets_work_after_a_late_entry_of_its_earlier_instance() {
-    let mut world = World::new(1);
-    let stale = world.reborn("w0", "w0-again");
-    world.list_all();
-    world.run_ms(300);
-    world.list(stale);
-    world.run_ms(300);
+    let mut world = SimulatedFleet::new(1);
+    let stale = world.replace_instance("w0", "w0-again");
+    world.report_all_listed();
+    world.advance_ms(300);
+    world.report_listed(stale);
+    world.advance_ms(300);
     world.submit(1, job(vec![step(1)]));
-    world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
+    world.advance_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
 }
 
 #[test]
 fn tasks_of_an_earlier_instance_restart_once_the_current_one_answers() {
-    let mut world = World::new(2);
-    world.work_ms = Some(30_000);
+    let mut world = SimulatedFleet::new(2);
+    world.task_duration_ms = Some(30_000);
     world.submit(1, job(vec![step(1)]));
-    world.run_ms(500);
+    world.advance_ms(500);
     let crashed = world.worker_of(task(1, 0, 0));
-    world.reborn(&crashed, "again");
+    world.replace_instance(&crashed, "again");
     let crashed_at = world.now;
-    world.list_all();
-    world.run_until("the task starts again", |world| world.starts.len() == 2);
+    world.report_all_listed();
+    world.advance_until("the task starts again", |world| world.starts.len() == 2);
     assert!(
         world.now.since(crashed_at).as_millis() < 1_500,
         "waited for the lease of an instance that is over"
@@ -61,35 +61,37 @@
 
 #[test]
 fn entry_without_answers_does_not_end_another_instance() {
-    let mut world = World::new(2);
-    world.work_ms = Some(20_000);
+    let mut world = SimulatedFleet::new(2);
+    world.task_duration_ms = Some(20_000);
     world.submit(1, job(vec![step(1)]));
-    world.run_ms(500);
+    world.advance_ms(500);
     let worker = world.worker_of(task(1, 0, 0));
     // A late entry of an instance that ended long ago: no worker answers under its id.
     let mut entry = world.worker(&worker).entry.clone();
     entry.id = "long-over".into();
-    world.list(entry);
-    world.run_ms(3_000);
+    world.report_listed(entry);
+    world.advance_ms(3_000);
     assert_eq!(world.starts.len(), 1, "the task was restarted although its worker answers");
 }
 
 #[test]
 fn new_owner_keeps_the_answering_one_of_two_listed_instances() {
     for stale_first in [true, false] {
-        let mut world = World::new(2);
-        world.work_ms = Some(8_000);
-        let stale = world.reborn("w0", "w0-again");
-        world.list_all();
-        world.run_ms(300);
+        let mut world = SimulatedFleet::new(2);
+        world.task_duration_ms = Some(8_000);
+        let stale = world.replace_instance("w0", "w0-again");
+        world.report_all_listed();
+        world.advance_ms(300);
         world.submit(1, job(vec![whole_worker_step(2)]));
-        world.run_until("both workers are taken", |world| world.starts.len() == 2);
+        world.advance_until("both workers are taken", |world| world.starts.len() == 2);
         let mut changes = vec![WorkerListChange::Listed(Box::new(stale))];
         let current = world.worker("w0-again").entry.clone();
         changes.insert(usize::from(stale_first), WorkerListChange::Listed(Box::new(current)));
         world.take_over(2, true);
-        world.tell(Event::WorkerListChanged(changes));
-        world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
+        world.send_event(Event::WorkerListChanged(changes));
+        world.advance_until("the job completes", |world| {
+            world.state(1) == Some(JobState::Completed)
+        });
         assert_eq!(
             world.starts.len(),
             2,
@@ -101,10 +103,10 @@
 #[test]
 fn late_answer_of_a_crashed_instance_does_not_end_the_next_one() {
     for restarted_first in [true, false] {
-        let mut world = World::new(1);
-        world.work_ms = Some(4_000);
+        let mut world = SimulatedFleet::new(1);
+        world.task_duration_ms = Some(4_000);
         world.submit(1, job(vec![step(1)]));
-        world.run_ms(500);
+        world.advance_ms(500);
         // The worker crashes while its answer is in transit.
         let (instance, poll, sent_at) = world.worker("w0").current_poll.take().unwrap();
         let report = Report {
@@ -113,14 +115,16 @@
             running: vec![],
             ended: vec![],
         };
-        world.run_ms(50);
-        world.reborn("w0", "w0-again");
-        world.list_all();
+        world.advance_ms(50);
+        world.replace_instance("w0", "w0-again");
+        world.report_all_listed();
         if restarted_first {
-            world.run_until("the task runs again", |world| world.starts.len() == 2);
+            world.advance_until("the task runs again", |world| world.starts.len() == 2);
         }
-        world.tell(Event::PollAnswered { instance, poll, sent_at, answer: Ok(report) });
-        world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
+        world.send_event(Event::PollAnswered { instance, poll, sent_at, answer: Ok(report) });
+        world.advance_until("the job completes", |world| {
+            world.state(1) == Some(JobState::Completed)
+        });
         assert_eq!(
             world.starts.len(),
             2,
@@ -131,12 +135,12 @@
 
 #[test]
 fn late_entry_does_not_revoke_that_a_worker_is_draining() {
-    let mut world = World::new(2);
+    let mut world = SimulatedFleet::new(2);
     let ready = world.worker("w0").entry.clone();
-    world.list(WorkerEntry { draining: true, ..ready.clone() });
+    world.report_listed(WorkerEntry { draining: true, ..ready.clone() });
     // An earlier write reaches the list only now.
-    world.list(ready);
+    world.report_listed(ready);
     world.submit(1, job(vec![step(6)]));
-    world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
+    world.advance_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
     assert!(world.starts.iter().all(|(.., worker)| worker == "w1"), "{:?}", world.starts);
 }
--- a/crates/kitetrail-core/tests/jobs_overload.rs
+++ b/crates/kitetrail-core/tests/jobs_overload.rs
@@ -5,7 +5,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use fleet::{Behaviour, Processor, World, job, step, task};
+use fleet::{Behaviour, Processor, SimulatedFleet, job, step, task};
 use kitetrail_core::{
     Resources, Time,
     jobs::{Event, JobRequestId, JobState, StepSpec},
@@ -31,13 +31,13 @@
 
 /// The result of a load during which the owner was slower for ten seconds.
 struct LoadResult {
-    world: World,
+    world: SimulatedFleet,
     jobs: Vec<SubmittedJob>,
 }
 
 impl LoadResult {
     fn accepted(&self) -> Vec<u64> {
-        let accepted = |job: &&SubmittedJob| self.world.refused(job.request) == Some(false);
+        let accepted = |job: &&SubmittedJob| self.world.is_refused(job.request) == Some(false);
         self.jobs.iter().filter(accepted).map(|job| job.id).collect()
     }
 
@@ -49,7 +49,7 @@
     /// Returns the number of callers who had no answer within the time that boxes wait.
     fn in_doubt(&self) -> usize {
         let in_time = |job: &SubmittedJob| {
-            let answered = self.world.answered(job.request);
+            let answered = self.world.answered_at(job.request);
             answered.is_some_and(|answered| answered.since(job.at) <= BOX_TIMEOUT)
         };
         self.jobs.iter().filter(|job| !in_time(job)).count()
@@ -72,7 +72,7 @@
 
 /// Runs a load with the owner slower by `factor` for ten seconds, until all work is done.
 fn run_overloaded(factor: u32, measures_lag: bool) -> LoadResult {
-    let mut world = World::new(WORKERS);
+    let mut world = SimulatedFleet::new(WORKERS);
     let mut processor = Processor::new(EVENT_COST, world.now);
     processor.reports_lag = measures_lag;
     world.processor = Some(processor);
@@ -87,9 +87,9 @@
         let spec = job(vec![StepSpec { keeps_progress: true, ..step(TASKS_PER_JOB) }]);
         let request = world.submit(id, spec);
         jobs.push(SubmittedJob { id, request, at });
-        world.run_ms(SUBMIT_INTERVAL_MS);
+        world.advance_ms(SUBMIT_INTERVAL_MS);
     }
-    world.run_ms(15_000);
+    world.advance_ms(15_000);
     LoadResult { world, jobs }
 }
 
@@ -125,19 +125,19 @@
 #[test]
 fn callers_are_answered_before_boxes_time_out_while_the_store_is_slow() {
     for takes_ms in [100, 300, 500, 600, 650] {
-        let mut world = World::new(WORKERS);
-        world.store_takes = Duration::from_millis(takes_ms);
+        let mut world = SimulatedFleet::new(WORKERS);
+        world.store_latency = Duration::from_millis(takes_ms);
         let mut requests = Vec::new();
         for id in 1..=200 {
             requests.push((world.submit(id, job(vec![step(2)])), world.now));
-            world.run_ms(50);
+            world.advance_ms(50);
         }
-        world.run_ms(5_000);
+        world.advance_ms(5_000);
         let in_doubt = requests.iter().filter(|(request, at)| {
-            world.answered(*request).is_none_or(|answered| answered.since(*at) > BOX_TIMEOUT)
+            world.answered_at(*request).is_none_or(|answered| answered.since(*at) > BOX_TIMEOUT)
         });
         let accepted =
-            requests.iter().filter(|(request, _)| world.refused(*request) == Some(false));
+            requests.iter().filter(|(request, _)| world.is_refused(*request) == Some(false));
         let (in_doubt, accepted) = (in_doubt.count(), accepted.count());
         // The time of the first batch is unknown in advance, which affects the callers of its first
         // 0.4 s.
@@ -151,40 +151,41 @@
 /// batch follows that could show that the store has recovered.
 #[test]
 fn idle_owner_accepts_jobs_again_after_a_slow_batch() {
-    let mut world = World::new(4);
-    world.store_takes = Duration::from_millis(2_000);
+    let mut world = SimulatedFleet::new(4);
+    world.store_latency = Duration::from_millis(2_000);
     world.submit(1, job(vec![step(1)]));
-    world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
-    world.store_takes = Duration::from_millis(10);
-    world.run_ms(3_000);
+    world.advance_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
+    world.store_latency = Duration::from_millis(10);
+    world.advance_ms(3_000);
     let request = world.submit(2, job(vec![step(1)]));
-    world.run_ms(1_000);
-    assert_eq!(world.refused(request), Some(false));
+    world.advance_ms(1_000);
+    assert_eq!(world.is_refused(request), Some(false));
 }
 
 #[test]
 fn long_running_tasks_restart_before_short_tasks_after_a_takeover() {
-    let mut world = World::new(4);
+    let mut world = SimulatedFleet::new(4);
     world.submit(1, job(vec![StepSpec { long_running: true, ..step(12) }]));
-    world.run_until("the watcher runs", |world| {
-        (0..12).all(|index| !world.where_runs(task(1, 0, index)).is_empty())
+    world.advance_until("the watcher runs", |world| {
+        (0..12).all(|index| !world.workers_running(task(1, 0, index)).is_empty())
     });
     // All leases expire, and the waiting short tasks could take all room.
     world.submit(2, job(vec![step(4)]));
     world.submit(3, job(vec![step(40)]));
-    world.run_ms(50);
+    world.advance_ms(50);
     world.workers.values_mut().for_each(|worker| worker.running.clear());
     world.take_over(2, true);
-    world.run_ms(500);
-    let running = (0..12).filter(|&index| !world.where_runs(task(1, 0, index)).is_empty()).count();
+    world.advance_ms(500);
+    let running =
+        (0..12).filter(|&index| !world.workers_running(task(1, 0, index)).is_empty()).count();
     assert_eq!(running, 12);
 }
 
 /// Returns a world with a long-running serving task whose tail latency is above its target as soon as a best-effort
 /// task runs beside it.
-fn world_with_watcher() -> World {
-    let mut world = World::new(1);
-    world.work_ms = Some(60_000);
+fn world_with_watcher() -> SimulatedFleet {
+    let mut world = SimulatedFleet::new(1);
+    world.task_duration_ms = Some(60_000);
     world.tail_ms = |worker| if worker.running.len() > 1 { 90 } else { 12 };
     world.submit(1, job(vec![serving_step()]));
     world
@@ -204,15 +205,15 @@
 }
 
 /// Runs the world for `ms` with an owner that lags all the time.
-fn run_with_lag_ms(world: &mut World, lag: Duration, ms: u64) {
+fn run_with_lag_ms(world: &mut SimulatedFleet, lag: Duration, ms: u64) {
     for _ in 0..ms / 10 {
-        world.tell(Event::OwnerLagged(lag));
-        world.run_ms(10);
+        world.send_event(Event::OwnerLagged(lag));
+        world.advance_ms(10);
     }
 }
 
 /// Returns whether the best-effort task beside the serving task is halted.
-fn is_halted(world: &World) -> bool {
+fn is_halted(world: &SimulatedFleet) -> bool {
     world.workers["w0"].running[&task(2, 0, 0)].percent == 0
 }
 
@@ -226,7 +227,7 @@
         let mut world = world_with_watcher();
         run_with_lag_ms(&mut world, lag, after_ms);
         world.submit(2, job(vec![best_effort_step()]));
-        world.run_until("the batch task runs", |world| world.starts.len() > 1);
+        world.advance_until("the batch task runs", |world| world.starts.len() > 1);
         run_with_lag_ms(&mut world, lag, deadline.as_millis() as u64);
         assert!(is_halted(&world), "started after {after_ms} ms, not halted {deadline:?} later");
     }
@@ -235,16 +236,16 @@
 #[test]
 fn halt_is_sent_before_waiting_starts() {
     let mut world = world_with_watcher();
-    world.run_ms(1_000);
+    world.advance_ms(1_000);
     world.submit(2, job(vec![best_effort_step()]));
-    world.run_ms(1_500);
+    world.advance_ms(1_500);
     assert!(!is_halted(&world), "halted before its tail was above its target for long enough");
     let mut slow_processor = Processor::new(Duration::from_millis(50), world.now);
     slow_processor.reports_lag = false;
     world.processor = Some(slow_processor);
     let size = Resources::new(100, 100, 0);
     world.submit(3, job(vec![StepSpec { size, ..step(24) }]));
-    world.run_until("the best-effort task is halted", is_halted);
+    world.advance_until("the best-effort task is halted", is_halted);
     let started = world.starts.iter().filter(|(_, task, ..)| task.job.0 == 3).count();
     // If the halt were not sent before waiting starts, all 24 would go first.
     assert!(started <= 16, "{started} of 24 starts were sent first");
@@ -252,12 +253,12 @@
 
 /// Runs the world for six seconds in which the answers of all busy workers arrive, but the owner
 /// reads none of them.
-fn leave_answers_unread(world: &mut World, lag: Duration) {
+fn leave_answers_unread(world: &mut SimulatedFleet, lag: Duration) {
     let busy = world.workers.values_mut().filter(|worker| !worker.running.is_empty());
     busy.for_each(|worker| worker.behaviour = Behaviour::AnswersPollsLate);
     for _ in 0..600 {
-        world.tell(Event::OwnerLagged(lag));
-        world.run_ms(10);
+        world.send_event(Event::OwnerLagged(lag));
+        world.advance_ms(10);
         world.workers.values_mut().for_each(|worker| worker.late_answer = None);
     }
     world.set_behaviours(Behaviour::Healthy);
@@ -265,9 +266,9 @@
 
 #[test]
 fn runs_that_ended_in_unread_answers_do_not_run_again() {
-    let mut world = World::new(12);
+    let mut world = SimulatedFleet::new(12);
     world.submit(1, job(vec![step(8)]));
-    world.run_ms(300);
+    world.advance_ms(300);
     assert_eq!(world.starts.len(), 8);
     leave_answers_unread(&mut world, Duration::from_millis(200));
     assert_eq!(
@@ -275,20 +276,20 @@
         8,
         "a task was restarted though its run may have ended before the lease lapsed"
     );
-    world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
+    world.advance_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
     assert_eq!(world.starts.len(), 8);
 }
 
 #[test]
 fn punctual_owner_restarts_tasks_of_silent_workers() {
-    let mut world = World::new(4);
+    let mut world = SimulatedFleet::new(4);
     world.submit(1, job(vec![StepSpec { long_running: true, ..step(2) }]));
-    world.run_ms(300);
+    world.advance_ms(300);
     let id = world.worker_of(task(1, 0, 0));
     world.worker(&id).behaviour = Behaviour::Partitioned;
-    world.run_ms(6_000);
+    world.advance_ms(6_000);
     let runs_on_another_worker =
-        world.where_runs(task(1, 0, 0)).into_iter().any(|other| other != id);
+        world.workers_running(task(1, 0, 0)).into_iter().any(|other| other != id);
     assert!(
         runs_on_another_worker,
         "a task of a silent worker was not restarted after its lease expired"
--- a/crates/kitetrail-core/tests/jobs_restarted.rs
+++ b/crates/kitetrail-core/tests/jobs_restarted.rs
@@ -21,7 +21,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use fleet::{Behaviour, DAY_UNIX_MS, World, job, step, task};
+use fleet::{Behaviour, CLOCK_ZERO_UNIX_MS, SimulatedFleet, job, step, task};
 use kitetrail_core::{
     Resources,
     jobs::{
@@ -31,17 +31,17 @@
 };
 
 /// Creates a fleet whose workers have each reported some ends.
-fn used_fleet(workers: u32) -> World {
-    let mut world = World::new(workers);
-    world.tell_incarnations();
-    world.work_ms = Some(300);
+fn used_fleet(workers: u32) -> SimulatedFleet {
+    let mut world = SimulatedFleet::new(workers);
+    world.report_incarnations();
+    world.task_duration_ms = Some(300);
     for id in 1..=4 {
         world.submit(id, job(vec![step(4 * workers)]));
     }
-    world.run_until("all jobs complete", |world| {
+    world.advance_until("all jobs complete", |world| {
         (1..=4).all(|id| world.state(id) == Some(JobState::Completed))
     });
-    world.run_ms(3_000);
+    world.advance_ms(3_000);
     world.starts.clear();
     world
 }
@@ -53,9 +53,9 @@
         world.restart(id);
     }
     world.submit(10, job(vec![step(12)]));
-    world.run_ms(250);
-    world.list_all();
-    world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
+    world.advance_ms(250);
+    world.report_all_listed();
+    world.advance_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
     assert_eq!(world.starts.len(), 12, "each task is started once: {:?}", world.starts);
 }
 
@@ -67,9 +67,9 @@
     }
     world.set_behaviours(Behaviour::Failing);
     world.submit(10, job(vec![step(1)]));
-    world.run_ms(250);
-    world.list_all();
-    world.run_ms(10_000);
+    world.advance_ms(250);
+    world.report_all_listed();
+    world.advance_ms(10_000);
     assert_eq!(world.state(10), Some(JobState::Failed));
     let starts = world.starts.iter().filter(|(_, name, ..)| *name == task(10, 0, 0));
     assert_eq!(starts.count(), 3, "as many attempts as its queue allows");
@@ -79,18 +79,20 @@
 fn runs_lost_in_a_restart_start_again_without_waiting_for_their_lease() {
     for listed_after_ms in [0, 250] {
         let mut world = used_fleet(4);
-        world.work_ms = Some(5_000);
+        world.task_duration_ms = Some(5_000);
         world.submit(10, job(vec![step(4)]));
-        world.run_ms(1_000);
+        world.advance_ms(1_000);
         let worker_id = world.worker_of(task(10, 0, 0));
         let lost_runs = world.worker(&worker_id).running.len();
         world.restart(&worker_id);
         let restarted_at = world.now;
-        world.run_ms(listed_after_ms);
-        world.list_all();
-        world.run_until("all tasks run again", |world| world.starts.len() == 4 + lost_runs);
+        world.advance_ms(listed_after_ms);
+        world.report_all_listed();
+        world.advance_until("all tasks run again", |world| world.starts.len() == 4 + lost_runs);
         assert!(world.now.since(restarted_at).as_millis() < 1_500, "they waited for a lease");
-        world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
+        world.advance_until("the job completes", |world| {
+            world.state(10) == Some(JobState::Completed)
+        });
         assert_eq!(world.starts.len(), 4 + lost_runs, "runs on other workers continued");
     }
 }
@@ -106,19 +108,21 @@
             world.restart(id);
         }
         world.submit(10, job(vec![step(12)]));
-        world.run_ms(1_000);
+        world.advance_ms(1_000);
         // Until the entries of the new instances are read, only orders in flight when the restart was detected start runs.
         let started_before = world.starts.len();
         assert!(started_before < 12, "{answers_report_start}: {:?}", world.starts);
-        world.run_ms(1_000);
+        world.advance_ms(1_000);
         assert_eq!(
             world.starts.len(),
             started_before,
             "{answers_report_start}: {:?}",
             world.starts
         );
-        world.list_all();
-        world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
+        world.report_all_listed();
+        world.advance_until("the job completes", |world| {
+            world.state(10) == Some(JobState::Completed)
+        });
         assert_eq!(world.starts.len(), 12, "{answers_report_start}: {:?}", world.starts);
         assert_eq!(world.counted_crashes(), 0, "nothing was running when the workers restarted");
     }
@@ -127,19 +131,19 @@
 #[test]
 fn a_late_entry_of_an_earlier_incarnation_is_ignored() {
     let mut world = used_fleet(2);
-    world.work_ms = Some(4_000);
+    world.task_duration_ms = Some(4_000);
     let stale = world.restart("w0");
-    world.list_all();
-    world.run_ms(500);
+    world.report_all_listed();
+    world.advance_ms(500);
     world.submit(10, job(vec![StepSpec { size: Resources::new(4_000, 512, 0), ..step(2) }]));
-    world.run_until("both workers run a task", |world| world.starts.len() == 2);
+    world.advance_until("both workers run a task", |world| world.starts.len() == 2);
     for _ in 0..3 {
-        world.list(stale.clone());
-        world.run_ms(400);
-        world.list_all();
-        world.run_ms(400);
+        world.report_listed(stale.clone());
+        world.advance_ms(400);
+        world.report_all_listed();
+        world.advance_ms(400);
     }
-    world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
+    world.advance_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
     assert_eq!(world.starts.len(), 2, "the runs continued");
     assert!(!world.deposed, "the owner mistook the token of its own request for another owner's");
 }
@@ -148,13 +152,15 @@
 fn a_restarted_worker_whose_clock_was_set_back_is_used_again() {
     for at_new_address in [false, true] {
         let mut world = used_fleet(1);
-        world.work_ms = Some(2_000);
+        world.task_duration_ms = Some(2_000);
         world.submit(10, job(vec![step(2)]));
-        world.run_ms(500);
+        world.advance_ms(500);
         let address = if at_new_address { "10.9.9.9:80" } else { "10.0.0.0:80" };
-        world.restart_as("w0", Incarnation(DAY_UNIX_MS - 5_000), address.to_owned());
-        world.list_all();
-        world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
+        world.restart_as("w0", Incarnation(CLOCK_ZERO_UNIX_MS - 5_000), address.to_owned());
+        world.report_all_listed();
+        world.advance_until("the job completes", |world| {
+            world.state(10) == Some(JobState::Completed)
+        });
         assert_eq!(world.starts.len(), 4, "both tasks run twice, new address: {at_new_address}");
     }
 }
@@ -163,20 +169,20 @@
 fn a_run_that_ended_before_a_restart_stays_ended_if_its_report_is_late() {
     let mut world = used_fleet(2);
     world.submit(10, job(vec![step(1)]));
-    world.run_until("the task runs", |world| world.starts.len() == 1);
+    world.advance_until("the task runs", |world| world.starts.len() == 1);
     let worker_id = world.worker_of(task(10, 0, 0));
     world.worker(&worker_id).behaviour = Behaviour::AnswersPollsLate;
-    world.run_until("the task is done", |world| {
+    world.advance_until("the task is done", |world| {
         world.workers[&worker_id].completed.contains(&task(10, 0, 0))
     });
     let (instance, poll, sent_at) = world.worker(&worker_id).current_poll.unwrap();
     let ended = world.worker(&worker_id).ended.clone();
     let before = world.worker(&worker_id).entry.incarnation;
     world.restart(&worker_id);
-    world.list_all();
+    world.report_all_listed();
     // The late answer of the previous instance is read before the next one has answered.
-    world.tell(Event::LateReport { instance, incarnation: before, ended });
-    world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
+    world.send_event(Event::LateReport { instance, incarnation: before, ended });
+    world.advance_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
     assert_eq!(world.starts.len(), 1, "the completed task is not started again");
     let _ = (poll, sent_at);
 }
@@ -189,14 +195,16 @@
         let mut world = used_fleet(1);
         world.worker("w0").answers_contain_incarnation = answers_report_start;
         world.submit(10, job(vec![step(1)]));
-        let end_is_read = |world: &World| world.state(10) == Some(JobState::Completed);
-        world.run_until("its end is read", end_is_read);
+        let end_is_read = |world: &SimulatedFleet| world.state(10) == Some(JobState::Completed);
+        world.advance_until("its end is read", end_is_read);
         world.restart("w0");
-        world.run_ms(if order_answers_take_ms > 0 { 450 } else { 150 });
-        world.order_answers_take = Duration::from_millis(order_answers_take_ms);
-        world.work_ms = Some(30);
+        world.advance_ms(if order_answers_take_ms > 0 { 450 } else { 150 });
+        world.order_answer_delay = Duration::from_millis(order_answers_take_ms);
+        world.task_duration_ms = Some(30);
         world.submit(11, job(vec![step(1)]));
-        world.run_until("the job completes", |world| world.state(11) == Some(JobState::Completed));
+        world.advance_until("the job completes", |world| {
+            world.state(11) == Some(JobState::Completed)
+        });
         let starts = world.starts.iter().filter(|(_, name, ..)| *name == task(11, 0, 0));
         assert_eq!(starts.count(), 1, "{answers_report_start}, {order_answers_take_ms} ms");
     }
@@ -206,26 +214,28 @@
 fn a_new_owner_distinguishes_a_restarted_worker_from_its_earlier_incarnation() {
     for listed_first in [true, false] {
         let mut world = used_fleet(4);
-        world.work_ms = Some(5_000);
+        world.task_duration_ms = Some(5_000);
         world.submit(10, job(vec![step(4)]));
-        world.run_ms(1_000);
+        world.advance_ms(1_000);
         let worker_id = world.worker_of(task(10, 0, 0));
         let lost_runs = world.worker(&worker_id).running.len();
         if listed_first {
             world.restart(&worker_id);
-            world.list_all();
-            world.run_ms(30);
+            world.report_all_listed();
+            world.advance_ms(30);
             world.take_over(2, true);
         } else {
             world.restart(&worker_id);
             world.take_over(2, true);
         }
         let taken_over_at = world.now;
-        world.run_until("all tasks run again", |world| world.starts.len() == 4 + lost_runs);
+        world.advance_until("all tasks run again", |world| world.starts.len() == 4 + lost_runs);
         assert!(world.now.since(taken_over_at).as_millis() < 1_500, "they waited for a lease");
-        world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
+        world.advance_until("the job completes", |world| {
+            world.state(10) == Some(JobState::Completed)
+        });
         let rows = world.instances.keys().cloned().collect::<BTreeSet<_>>();
-        world.run_ms(1_000);
+        world.advance_ms(1_000);
         assert_eq!(world.starts.len(), 4 + lost_runs, "runs on other workers continued");
         assert_eq!(
             world.instances.len(),
@@ -238,14 +248,14 @@
 #[test]
 fn each_incarnation_of_a_worker_has_its_own_row() {
     let mut world = used_fleet(4);
-    let rows = |world: &World| {
+    let rows = |world: &SimulatedFleet| {
         world.instances.values().map(|instance| instance.incarnation).collect::<Vec<_>>()
     };
-    assert_eq!(rows(&world), [Some(Incarnation(DAY_UNIX_MS)); 4]);
+    assert_eq!(rows(&world), [Some(Incarnation(CLOCK_ZERO_UNIX_MS)); 4]);
     world.restart("w0");
     let now = world.worker("w0").entry.incarnation;
-    world.list_all();
-    world.run_ms(1_000);
+    world.report_all_listed();
+    world.advance_ms(1_000);
     assert_eq!(rows(&world).len(), 4, "the row of the ended incarnation is removed");
     assert!(rows(&world).contains(&now), "the row of the incarnation that runs tasks exists");
 }
@@ -262,13 +272,13 @@
 #[test]
 fn a_job_whose_task_crashes_the_same_worker_repeatedly_fails() {
     for return_delay_ms in [50, 300, 3_000] {
-        let mut world = World::new(2);
-        world.tell_incarnations();
+        let mut world = SimulatedFleet::new(2);
+        world.report_incarnations();
         world.crashes.keeps_name = true;
         world.crashes.return_delay = Duration::from_millis(return_delay_ms);
         world.make_crashing(task(1, 0, 0));
         world.submit(1, job(vec![step(1)]));
-        world.run_ms(60_000);
+        world.advance_ms(60_000);
         let starts = world.starts_after_third_crash(task(1, 0, 0));
         assert!(
             starts <= 2,
@@ -283,51 +293,51 @@
     // The order carries a lease end on the clock of the earlier instance. The new one reads it as a time far in the future
     // and cuts it to its longest lease. The fleet panics if a task runs twice.
     let mut world = used_fleet(3);
-    world.work_ms = Some(20_000);
+    world.task_duration_ms = Some(20_000);
     world.restart("w0");
     world.submit(10, job(vec![StepSpec { size: Resources::new(4_000, 512, 0), ..step(2) }]));
-    let runs_there = |world: &World| !world.workers["w0"].running.is_empty();
-    world.run_until("a task runs there", runs_there);
-    world.run_ms(60);
+    let runs_there = |world: &SimulatedFleet| !world.workers["w0"].running.is_empty();
+    world.advance_until("a task runs there", runs_there);
+    world.advance_ms(60);
     world.worker("w0").behaviour = Behaviour::Partitioned;
-    world.run_ms(5_500);
-    world.lapse("w0");
-    world.run_ms(10_000);
+    world.advance_ms(5_500);
+    world.report_expired("w0");
+    world.advance_ms(10_000);
 }
 
 #[test]
 fn orders_to_an_earlier_incarnation_that_reach_the_next_do_not_depose_the_owner() {
     let mut world = used_fleet(2);
     world.worker("w0").crash();
-    world.run_ms(3_300);
-    world.lapse("w0");
-    world.run_ms(6_000);
+    world.advance_ms(3_300);
+    world.report_expired("w0");
+    world.advance_ms(6_000);
     let token = world.workers["w0"].token;
     world.restart("w0");
     // A request to the earlier instance, under one of the tokens issued after it became unresponsive, arrives first.
     world.worker("w0").token = token + 3;
-    world.list_all();
-    world.run_ms(2_000);
+    world.report_all_listed();
+    world.advance_ms(2_000);
     assert!(!world.deposed, "the owner mistook its own token for another owner's");
     world.submit(10, job(vec![step(8)]));
-    world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
+    world.advance_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
     assert!(world.starts.iter().any(|(.., worker)| worker == "w0"), "the worker is used again");
 }
 
 #[test]
 fn a_worker_whose_live_incarnation_is_unclear_gets_no_tasks() {
     let mut world = used_fleet(2);
-    world.work_ms = Some(10_000);
+    world.task_duration_ms = Some(10_000);
     world.submit(10, job(vec![step(5)]));
-    world.run_ms(500);
+    world.advance_ms(500);
     let least_loaded = ["w0", "w1"].into_iter().min_by_key(|id| world.workers[*id].running.len());
     let entry = world.workers[least_loaded.unwrap()].entry.clone();
     // A late entry: nobody answers at its address.
     let (incarnation, address) = (Some(Incarnation(7)), "10.9.9.9:80".to_owned());
-    world.list(WorkerEntry { incarnation, address, ..entry });
+    world.report_listed(WorkerEntry { incarnation, address, ..entry });
     let starts = world.starts.len();
     world.submit(11, job(vec![step(1)]));
-    world.run_ms(100);
+    world.advance_ms(100);
     assert_eq!(world.starts.len(), starts + 1, "the task waits for the other worker's answer");
 }
 
@@ -337,16 +347,18 @@
     for answer_first in [true, false] {
         let mut world = used_fleet(1);
         world.worker("w0").entry.draining = true;
-        world.list_all();
-        world.run_ms(2_000);
+        world.report_all_listed();
+        world.advance_ms(2_000);
         world.restart("w0");
         world.worker("w0").entry.draining = false;
         if answer_first {
-            world.run_ms(6_000);
+            world.advance_ms(6_000);
         }
-        world.list_all();
+        world.report_all_listed();
         world.submit(10, job(vec![step(4)]));
-        world.run_until("the job completes", |world| world.state(10) == Some(JobState::Completed));
+        world.advance_until("the job completes", |world| {
+            world.state(10) == Some(JobState::Completed)
+        });
     }
 }
 
@@ -355,13 +367,13 @@
     // Orders are answered late, and polls sent before or after them are answered in between.
     for answers_take_ms in [30, 70, 150, 400] {
         let mut world = used_fleet(2);
-        world.order_answers_take = Duration::from_millis(answers_take_ms);
+        world.order_answer_delay = Duration::from_millis(answers_take_ms);
         for id in 10..40 {
-            world.work_ms = Some(40 + id * 7);
+            world.task_duration_ms = Some(40 + id * 7);
             world.submit(id, job(vec![step(3)]));
-            world.run_ms(110);
+            world.advance_ms(110);
         }
-        world.run_ms(5_000);
+        world.advance_ms(5_000);
         let is_clock_entry = |entry: &LogEntry| matches!(entry, LogEntry::Worker { state, .. } if state.contains("clock"));
         let clock_entries =
             world.log_entries.iter().filter(|(_, entry)| is_clock_entry(entry)).count();
@@ -371,9 +383,9 @@
 
 #[test]
 fn workers_that_report_no_incarnation_are_used() {
-    let mut world = World::new(4);
+    let mut world = SimulatedFleet::new(4);
     world.submit(1, job(vec![step(12)]));
-    world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
+    world.advance_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
     assert_eq!(world.starts.len(), 12);
 }
 
@@ -389,7 +401,7 @@
 
 /// Injects a random fault into a worker, the owner or the list.
 fn inject_fault(
-    world: &mut World,
+    world: &mut SimulatedFleet,
     rng: &mut ChaCha8Rng,
     epoch: &mut u64,
     stale: &mut Vec<WorkerEntry>,
@@ -399,21 +411,21 @@
         0..5 => {
             let at_new_address = rng.random_bool(0.3);
             // The clock may have been set back, but two instances of a worker never report the same start time.
-            let started = DAY_UNIX_MS + world.now.as_ms() - rng.random_range(0..2) * 2_999;
+            let started = CLOCK_ZERO_UNIX_MS + world.now.as_ms() - rng.random_range(0..2) * 2_999;
             let address = match at_new_address {
                 true => format!("10.1.{}.{}:80", rng.random_range(0..99), rng.random_range(0..99)),
                 false => world.worker(&id).entry.address.clone(),
             };
             stale.push(world.restart_as(&id, Incarnation(started), address));
-            world.run_ms(rng.random_range(0..400));
+            world.advance_ms(rng.random_range(0..400));
             let entry = world.worker(&id).entry.clone();
-            world.list(entry);
+            world.report_listed(entry);
         }
         5 if !stale.is_empty() => {
             let index = rng.random_range(0..stale.len());
-            world.list(stale.swap_remove(index));
-            world.run_ms(rng.random_range(0..1_200));
-            world.list_all();
+            world.report_listed(stale.swap_remove(index));
+            world.advance_ms(rng.random_range(0..1_200));
+            world.report_all_listed();
         }
         6 => {
             *epoch += 1;
@@ -421,7 +433,7 @@
         }
         7 => {
             world.store_down = true;
-            world.run_ms(rng.random_range(0..2_000));
+            world.advance_ms(rng.random_range(0..2_000));
             world.store_down = false;
         }
         8 => {
@@ -429,19 +441,19 @@
                 [Behaviour::AnswersPollsLate, Behaviour::AnswersStartsLate, Behaviour::Partitioned]
                     [rng.random_range(0..3)];
             world.worker(&id).behaviour = behaviour;
-            world.run_ms(rng.random_range(0..2_000));
+            world.advance_ms(rng.random_range(0..2_000));
             world.worker(&id).behaviour = Behaviour::Healthy;
         }
         9 => {
             world.worker(&id).entry.draining = true;
             let leaving = world.worker(&id).entry.clone();
-            world.list(leaving);
-            world.run_ms(rng.random_range(0..1_500));
+            world.report_listed(leaving);
+            world.advance_ms(rng.random_range(0..1_500));
             stale.push(world.restart(&id));
             world.worker(&id).entry.draining = false;
-            world.run_ms(rng.random_range(0..400));
+            world.advance_ms(rng.random_range(0..400));
             let entry = world.worker(&id).entry.clone();
-            world.list(entry);
+            world.report_listed(entry);
         }
         _ => {}
     }
@@ -449,7 +461,7 @@
 
 /// Returns whether a job failed because three workers in a row crashed under one of its tasks, which is allowed: a task that
 /// causes crashes can't be distinguished from one that was running by chance during three of them (seed 103).
-fn failed_for_three_crashes(world: &World, id: u64) -> bool {
+fn failed_for_three_crashes(world: &SimulatedFleet, id: u64) -> bool {
     let is_job_failure = |entry: &LogEntry| match entry {
         LogEntry::CrashingTaskFailed { task, workers } => {
             task.job == JobId(id) && workers.len() >= 3
@@ -465,15 +477,15 @@
     for seed in seeds() {
         println!("seed {seed}");
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = World::new(6);
-        world.tell_incarnations();
+        let mut world = SimulatedFleet::new(6);
+        world.report_incarnations();
         let answers_report_start = rng.random_bool(0.5);
         for worker in world.workers.values_mut() {
             worker.answers_contain_incarnation = answers_report_start;
         }
         let (mut epoch, mut stale) = (1, Vec::new());
-        world.work_ms = Some(rng.random_range(50..1_500));
-        world.order_answers_take = Duration::from_millis(rng.random_range(0..3) * 150);
+        world.task_duration_ms = Some(rng.random_range(50..1_500));
+        world.order_answer_delay = Duration::from_millis(rng.random_range(0..3) * 150);
         for id in 1..=20 {
             world.submit(
                 id,
@@ -482,12 +494,12 @@
                     StepSpec { depends_on: vec![0], ..step(2) },
                 ]),
             );
-            world.run_ms(rng.random_range(0..700));
+            world.advance_ms(rng.random_range(0..700));
             inject_fault(&mut world, &mut rng, &mut epoch, &mut stale);
-            world.run_ms(rng.random_range(0..700));
+            world.advance_ms(rng.random_range(0..700));
         }
-        world.list_all();
-        world.run_ms(40_000);
+        world.report_all_listed();
+        world.advance_ms(40_000);
         let accepted = (1..=20).filter(|&id| world.state(id).is_some());
         let open = accepted.filter(|&id| {
             world.state(id) != Some(JobState::Completed) && !failed_for_three_crashes(&world, id)
--- a/crates/kitetrail-core/tests/jobs_shrinking.rs
+++ b/crates/kitetrail-core/tests/jobs_shrinking.rs
@@ -12,79 +12,79 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use fleet::{Behaviour, FakeWorker, World, job, step, task};
+use fleet::{Behaviour, FakeWorker, SimulatedFleet, job, step, task};
 use kitetrail_core::{
     Resources,
     jobs::{JobState, StepSpec},
 };
 
 /// Returns the number of cores in use of a worker with four: each task takes one.
-fn cores_in_use(world: &World, id: &str) -> usize {
+fn cores_in_use(world: &SimulatedFleet, id: &str) -> usize {
     world.workers[id].running.len()
 }
 
 #[test]
 fn waiting_starts_are_not_sent_to_a_worker_that_shrank() {
-    let mut world = World::new(1);
-    world.work_ms = Some(5_000);
+    let mut world = SimulatedFleet::new(1);
+    world.task_duration_ms = Some(5_000);
     // The first start is not answered, so the others wait until its outcome is known.
     world.worker("w0").behaviour = Behaviour::AnswersStartsLate;
     world.submit(1, job(vec![step(4)]));
-    world.run_ms(50);
+    world.advance_ms(50);
     world.worker("w0").behaviour = Behaviour::Healthy;
     world.set_cores("w0", 1_000);
-    world.run_ms(4_000);
+    world.advance_ms(4_000);
     assert!(cores_in_use(&world, "w0") <= 1, "{} tasks on one core", cores_in_use(&world, "w0"));
     world.set_cores("w0", 4_000);
-    world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
+    world.advance_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
 }
 
 #[test]
 fn start_waiting_to_be_persisted_is_not_sent_to_a_worker_that_shrank() {
-    let mut world = World::new(2);
+    let mut world = SimulatedFleet::new(2);
     let name = task(1, 0, 0);
     world.make_crashing(name);
     world.submit(1, job(vec![step(1)]));
-    world.run_until("the task has crashed a worker", |world| world.crashes_of(name) == 1);
-    world.store_takes = Duration::from_millis(400);
-    world.run_ms(3_300);
+    world.advance_until("the task has crashed a worker", |world| world.crashes_of(name) == 1);
+    world.store_latency = Duration::from_millis(400);
+    world.advance_ms(3_300);
     // The task is placed again, and the store is slow to persist that.
     let before = world.starts.len();
     for id in world.workers.keys().cloned().collect::<Vec<_>>() {
         world.set_cores(&id, 500);
     }
-    world.run_ms(2_000);
+    world.advance_ms(2_000);
     assert_eq!(world.starts.len(), before, "the task was started on a worker without room for it");
 }
 
 #[test]
 fn running_tasks_stay_on_a_worker_that_shrank_and_none_is_added() {
-    let mut world = World::new(1);
-    world.work_ms = Some(3_000);
+    let mut world = SimulatedFleet::new(1);
+    world.task_duration_ms = Some(3_000);
     world.submit(1, job(vec![step(4)]));
-    world.run_ms(100);
+    world.advance_ms(100);
     world.set_cores("w0", 2_000);
     world.submit(2, job(vec![step(2)]));
-    world.run_ms(1_000);
+    world.advance_ms(1_000);
     assert_eq!(
         cores_in_use(&world, "w0"),
         4,
         "a running task was stopped, or another one was started"
     );
-    world.run_until("both jobs complete", |world| world.state(2) == Some(JobState::Completed));
+    world.advance_until("both jobs complete", |world| world.state(2) == Some(JobState::Completed));
     assert_eq!(world.state(1), Some(JobState::Completed));
 }
 
 #[test]
 fn added_capacity_is_used_at_once() {
-    let mut world = World::new(1);
+    let mut world = SimulatedFleet::new(1);
     world.set_cores("w0", 1_000);
-    world.run_ms(100);
+    world.advance_ms(100);
     world.submit(1, job(vec![step(3)]));
-    world.run_ms(200);
+    world.advance_ms(200);
     assert_eq!(cores_in_use(&world, "w0"), 1);
     world.set_cores("w0", 4_000);
-    world.run_ms(100);
+    world.advance_ms(100);
     assert_eq!(cores_in_use(&world, "w0"), 3);
 }
 
@@ -94,7 +94,7 @@
     // 4.1 s.
     for seed in 0..30 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = World::with_workers((0..6).map(FakeWorker::new));
+        let mut world = SimulatedFleet::with_workers((0..6).map(FakeWorker::new));
         let long_running =
             StepSpec { long_running: true, size: Resources::new(500, 256, 0), ..step(4) };
         world.submit(500, job(vec![long_running]));
@@ -112,13 +112,13 @@
             if round % 20 == 19 {
                 world.take_over(2 + round, false);
             }
-            world.run_ms(rng.random_range(10..900));
+            world.advance_ms(rng.random_range(10..900));
         }
         world.set_behaviours(Behaviour::Healthy);
         for worker_no in 0..6 {
             world.set_cores(&format!("w{worker_no}"), 4_000);
         }
-        world.run_ms(30_000);
+        world.advance_ms(30_000);
         assert_eq!(world.state(500), Some(JobState::Running), "seed {seed}");
         let queued = (1..61).filter(|&id| world.state(id) == Some(JobState::Queued));
         assert_eq!(queued.collect::<Vec<_>>(), [0; 0], "jobs still wait, seed {seed}");
--- a/crates/kitetrail-core/tests/jobs_unlisted.rs
+++ b/crates/kitetrail-core/tests/jobs_unlisted.rs
@@ -4,7 +4,7 @@
 
 mod fleet;
 
-use fleet::{Behaviour, FakeWorker, World, job, step, task};
+use fleet::{Behaviour, FakeWorker, SimulatedFleet, job, step, task};
 use kitetrail_core::jobs::{Event, JobId, JobState, StepSpec, WorkerListChange};
 
 /// The minimum time that a worker keeps running after its entry is gone, in milliseconds.
@@ -16,14 +16,14 @@
 }
 
 /// Creates a fleet on which a job of one step runs, and returns it with the worker of task 0.
-fn fleet_running(workers: u32, step: StepSpec) -> (World, String) {
-    let mut world = World::new(workers);
-    world.work_ms = Some(20_000);
+fn fleet_running(workers: u32, step: StepSpec) -> (SimulatedFleet, String) {
+    let mut world = SimulatedFleet::new(workers);
+    world.task_duration_ms = Some(20_000);
     let count = step.count as usize;
     world.submit(1, job(vec![step]));
-    world.run_until("all tasks run", |world| world.starts.len() == count);
+    world.advance_until("all tasks run", |world| world.starts.len() == count);
     // Long enough for the reports that the tasks are working.
-    world.run_ms(2_500);
+    world.advance_ms(2_500);
     let worker_id = world.worker_of(task(1, 0, 0));
     (world, worker_id)
 }
@@ -31,10 +31,10 @@
 #[test]
 fn long_running_tasks_move_off_a_worker_that_left_without_notice() {
     let (mut world, worker_id) = fleet_running(2, long_running_step(1));
-    world.unlist(&worker_id);
-    world.run_ms(DRAIN_MS / 2);
+    world.report_withdrawn(&worker_id);
+    world.advance_ms(DRAIN_MS / 2);
     assert_ne!(
-        world.where_runs(task(1, 0, 0)),
+        world.workers_running(task(1, 0, 0)),
         [worker_id.as_str()],
         "the task would be lost with its worker"
     );
@@ -44,10 +44,10 @@
 #[test]
 fn tasks_that_save_progress_move_off_a_worker_that_left_without_notice() {
     let (mut world, worker_id) = fleet_running(2, StepSpec { keeps_progress: true, ..step(1) });
-    world.unlist(&worker_id);
-    world.run_ms(DRAIN_MS / 2);
+    world.report_withdrawn(&worker_id);
+    world.advance_ms(DRAIN_MS / 2);
     assert_ne!(
-        world.where_runs(task(1, 0, 0)),
+        world.workers_running(task(1, 0, 0)),
         [worker_id.as_str()],
         "the task would be lost with its worker"
     );
@@ -56,49 +56,49 @@
 #[test]
 fn tasks_stay_while_the_entry_may_have_expired_in_a_store_outage() {
     let (mut world, worker_id) = fleet_running(2, long_running_step(1));
-    world.trouble_store();
-    world.lapse(&worker_id);
+    world.report_store_outage();
+    world.report_expired(&worker_id);
     // The store is unavailable for a while, then available for less than two seconds.
     for _ in 0..30 {
-        world.run_ms(100);
-        world.trouble_store();
+        world.advance_ms(100);
+        world.report_store_outage();
     }
-    world.run_ms(1_900);
-    world.relist(&worker_id);
-    world.run_ms(10_000);
-    assert_eq!(world.where_runs(task(1, 0, 0)), [worker_id.as_str()]);
+    world.advance_ms(1_900);
+    world.report_relisted(&worker_id);
+    world.advance_ms(10_000);
+    assert_eq!(world.workers_running(task(1, 0, 0)), [worker_id.as_str()]);
     assert_eq!(world.starts.len(), 1, "the entry returned, so the task stays");
 }
 
 #[test]
 fn tasks_stay_if_the_entry_disappears_shortly_after_a_store_outage() {
     let (mut world, worker_id) = fleet_running(2, long_running_step(1));
-    world.trouble_store();
-    world.run_ms(300);
-    world.lapse(&worker_id);
-    world.run_ms(1_500);
+    world.report_store_outage();
+    world.advance_ms(300);
+    world.report_expired(&worker_id);
+    world.advance_ms(1_500);
     assert_eq!(world.starts.len(), 1, "the worker may be alive");
 }
 
 #[test]
 fn tasks_move_off_a_worker_still_missing_two_seconds_after_the_store_returns() {
     let (mut world, worker_id) = fleet_running(2, long_running_step(1));
-    world.trouble_store();
-    world.lapse(&worker_id);
-    world.run_ms(3_500);
-    assert_ne!(world.where_runs(task(1, 0, 0)), [worker_id.as_str()]);
+    world.report_store_outage();
+    world.report_expired(&worker_id);
+    world.advance_ms(3_500);
+    assert_ne!(world.workers_running(task(1, 0, 0)), [worker_id.as_str()]);
     assert_eq!(world.starts.len(), 2);
 }
 
 #[test]
 fn a_store_outage_after_an_entry_disappeared_does_not_keep_tasks_in_place() {
     let (mut world, worker_id) = fleet_running(3, long_running_step(1));
-    world.unlist(&worker_id);
-    world.run_ms(50);
-    world.trouble_store();
-    world.run_ms(DRAIN_MS / 2);
+    world.report_withdrawn(&worker_id);
+    world.advance_ms(50);
+    world.report_store_outage();
+    world.advance_ms(DRAIN_MS / 2);
     assert_ne!(
-        world.where_runs(task(1, 0, 0)),
+        world.workers_running(task(1, 0, 0)),
         [worker_id.as_str()],
         "the entry disappeared while the store was available"
     );
@@ -113,10 +113,10 @@
         );
         let worker_ids = (0..4).map(|index| world.worker_of(task(1, 0, index))).collect::<Vec<_>>();
         for worker in &worker_ids {
-            world.unlist(worker);
+            world.report_withdrawn(worker);
         }
         for _ in 0..600 {
-            world.run_ms(10);
+            world.advance_ms(10);
             let working = world.workers.values().flat_map(|worker| worker.running.values());
             let working = working.filter(|running| running.done_ms >= 300).count() as u32;
             assert!(
@@ -135,10 +135,14 @@
     let other = world.worker_of(task(1, 0, 1));
     world.worker(&other).behaviour = Behaviour::Partitioned;
     // By now the worker is silent, but its lease has not expired.
-    world.run_ms(2_000);
-    world.unlist(&worker_id);
-    world.run_ms(1_000);
-    assert_eq!(world.where_runs(task(1, 0, 0)), [worker_id.as_str()], "the other task is missing");
+    world.advance_ms(2_000);
+    world.report_withdrawn(&worker_id);
+    world.advance_ms(1_000);
+    assert_eq!(
+        world.workers_running(task(1, 0, 0)),
+        [worker_id.as_str()],
+        "the other task is missing"
+    );
     assert_eq!(world.starts.len(), 2);
 }
 
@@ -147,13 +151,13 @@
     let (mut world, worker_id) =
         fleet_running(1, StepSpec { max_per_worker: None, ..long_running_step(1) });
     // There is no room elsewhere, so nothing is moved before the entry returns.
-    world.unlist(&worker_id);
-    world.run_ms(1_000);
-    world.relist(&worker_id);
+    world.report_withdrawn(&worker_id);
+    world.advance_ms(1_000);
+    world.report_relisted(&worker_id);
     world.workers.insert("w9".to_owned(), FakeWorker::new(9));
-    world.list_all();
-    world.run_ms(3_000);
-    assert_eq!(world.where_runs(task(1, 0, 0)), [worker_id.as_str()]);
+    world.report_all_listed();
+    world.advance_ms(3_000);
+    assert_eq!(world.workers_running(task(1, 0, 0)), [worker_id.as_str()]);
     assert_eq!(world.starts.len(), 1);
 }
 
@@ -162,15 +166,15 @@
     let (mut world, worker_id) = fleet_running(2, long_running_step(1));
     world.worker(&worker_id).unlisted = true;
     world.take_over(2, true);
-    world.run_ms(1_000);
+    world.advance_ms(1_000);
     assert_eq!(
-        world.where_runs(task(1, 0, 0)),
+        world.workers_running(task(1, 0, 0)),
         [worker_id.as_str()],
         "the list was not read completely yet"
     );
-    world.tell(Event::WorkerListChanged(vec![WorkerListChange::Complete]));
-    world.run_ms(DRAIN_MS / 2);
-    assert_ne!(world.where_runs(task(1, 0, 0)), [worker_id.as_str()]);
+    world.send_event(Event::WorkerListChanged(vec![WorkerListChange::Complete]));
+    world.advance_ms(DRAIN_MS / 2);
+    assert_ne!(world.workers_running(task(1, 0, 0)), [worker_id.as_str()]);
 }
 
 #[test]
@@ -178,39 +182,41 @@
     let (mut world, worker_id) = fleet_running(2, long_running_step(1));
     world.worker(&worker_id).unlisted = true;
     world.take_over(2, true);
-    world.trouble_store();
-    world.tell(Event::WorkerListChanged(vec![WorkerListChange::Complete]));
-    world.run_ms(1_900);
-    world.relist(&worker_id);
-    world.run_ms(5_000);
+    world.report_store_outage();
+    world.send_event(Event::WorkerListChanged(vec![WorkerListChange::Complete]));
+    world.advance_ms(1_900);
+    world.report_relisted(&worker_id);
+    world.advance_ms(5_000);
     assert_eq!(world.starts.len(), 1, "the entry returned, so the task stays");
 }
 
 #[test]
 fn a_worker_that_answers_but_cannot_reach_the_store_keeps_its_tasks() {
     let (mut world, worker_id) = fleet_running(2, long_running_step(1));
-    world.trouble_store();
+    world.report_store_outage();
     // The store outage ended before the last heartbeat.
-    world.run_ms(5_000);
-    world.lapse(&worker_id);
-    world.run_ms(20_000);
+    world.advance_ms(5_000);
+    world.report_expired(&worker_id);
+    world.advance_ms(20_000);
     assert_eq!(world.starts.len(), 1, "the worker keeps running");
     world.submit(2, job(vec![step(4)]));
-    world.run_until("the other job completes", |world| world.state(2) == Some(JobState::Completed));
+    world.advance_until("the other job completes", |world| {
+        world.state(2) == Some(JobState::Completed)
+    });
     let new = world.starts.iter().filter(|(_, task, ..)| task.job == JobId(2));
     assert!(new.into_iter().all(|(.., worker)| *worker != worker_id), "the worker gets new work");
-    world.relist(&worker_id);
-    world.run_ms(1_000);
-    assert_eq!(world.where_runs(task(1, 0, 0)), [worker_id.as_str()]);
+    world.report_relisted(&worker_id);
+    world.advance_ms(1_000);
+    assert_eq!(world.workers_running(task(1, 0, 0)), [worker_id.as_str()]);
 }
 
 #[test]
 fn tasks_stay_for_a_while_if_an_entry_is_withdrawn_during_a_store_outage() {
     let (mut world, worker_id) = fleet_running(2, long_running_step(1));
-    world.trouble_store();
-    world.unlist(&worker_id);
-    world.run_ms(1_900);
+    world.report_store_outage();
+    world.report_withdrawn(&worker_id);
+    world.advance_ms(1_900);
     assert_eq!(world.starts.len(), 1);
-    world.run_ms(1_500);
+    world.advance_ms(1_500);
     assert_eq!(world.starts.len(), 2, "the worker left");
 }
--- a/crates/kitetrail-core/tests/jobs_unusable.rs
+++ b/crates/kitetrail-core/tests/jobs_unusable.rs
@@ -3,7 +3,7 @@
 
 mod fleet;
 
-use fleet::{Behaviour, World, job, queue, step, task};
+use fleet::{Behaviour, SimulatedFleet, job, queue, step, task};
 use kitetrail_core::jobs::{Event, JobId, JobState, QueueTerms, StepSpec, WorkerEntry};
 
 /// Returns a step of long-running tasks.
@@ -12,86 +12,88 @@
 }
 
 /// Returns the number of start orders sent to a worker.
-fn start_orders_to(world: &World, id: &str) -> usize {
+fn start_orders_to(world: &SimulatedFleet, id: &str) -> usize {
     world.start_orders.iter().filter(|(.., worker)| worker == id).count()
 }
 
 #[test]
 fn a_worker_with_an_unusable_entry_gets_no_work_until_it_is_corrected() {
-    let mut world = World::new(2);
-    world.list_unusable("w0");
+    let mut world = SimulatedFleet::new(2);
+    world.report_unusable("w0");
     world.submit(1, job(vec![step(6)]));
-    world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
+    world.advance_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
     assert_eq!(start_orders_to(&world, "w0"), 0, "the whole job runs elsewhere");
-    world.relist("w0");
+    world.report_relisted("w0");
     world.submit(2, job(vec![step(8)]));
-    world.run_until("the next job completes", |world| world.state(2) == Some(JobState::Completed));
+    world.advance_until("the next job completes", |world| {
+        world.state(2) == Some(JobState::Completed)
+    });
     assert!(start_orders_to(&world, "w0") > 0, "the worker is used again");
 }
 
 #[test]
 fn runs_on_workers_with_unusable_entries_continue_and_their_ends_count() {
-    let mut world = World::new(2);
+    let mut world = SimulatedFleet::new(2);
     world.submit(1, job(vec![long_running_step(6)]));
     world.submit(2, job(vec![step(2)]));
-    world.run_until("all tasks run", |world| world.starts.len() == 8);
+    world.advance_until("all tasks run", |world| world.starts.len() == 8);
     for id in ["w0", "w1"] {
-        world.list_unusable(id);
+        world.report_unusable(id);
     }
-    world.run_ms(20_000);
+    world.advance_ms(20_000);
     assert_eq!(world.state(2), Some(JobState::Completed));
     assert_eq!(world.starts.len(), 8, "no task is restarted");
-    assert!((0..6).all(|index| world.where_runs(task(1, 0, index)).len() == 1));
+    assert!((0..6).all(|index| world.workers_running(task(1, 0, index)).len() == 1));
 }
 
 #[test]
 fn a_new_owner_that_finds_an_unusable_entry_keeps_the_runs_of_the_worker() {
-    let mut world = World::new(3);
+    let mut world = SimulatedFleet::new(3);
     world.submit(1, job(vec![long_running_step(3)]));
-    world.run_until("all tasks run", |world| world.starts.len() == 3);
+    world.advance_until("all tasks run", |world| world.starts.len() == 3);
     let id = world.worker_of(task(1, 0, 0));
     let orders = start_orders_to(&world, &id);
     world.worker(&id).unlisted = true;
     world.take_over(2, true);
-    world.list_unusable(&id);
-    world.run_ms(10_000);
+    world.report_unusable(&id);
+    world.advance_ms(10_000);
     assert_eq!(world.starts.len(), 3, "no task is restarted");
     assert_eq!(world.worker_of(task(1, 0, 0)), id);
     world.submit(2, job(vec![step(8)]));
-    world.run_ms(5_000);
+    world.advance_ms(5_000);
     assert_eq!(start_orders_to(&world, &id), orders, "the worker gets no new work");
 }
 
 #[test]
 fn runs_move_elsewhere_once_the_worker_is_silent_and_its_lease_has_expired() {
-    let mut world = World::new(3);
+    let mut world = SimulatedFleet::new(3);
     world.submit(1, job(vec![long_running_step(1)]));
-    world.run_until("the task runs", |world| world.starts.len() == 1);
+    world.advance_until("the task runs", |world| world.starts.len() == 1);
     let id = world.worker_of(task(1, 0, 0));
-    world.list_unusable(&id);
+    world.report_unusable(&id);
     world.worker(&id).behaviour = Behaviour::Partitioned;
-    world.run_ms(10_000);
+    world.advance_ms(10_000);
     assert_eq!(world.starts.len(), 2);
-    assert!(world.where_runs(task(1, 0, 0)).iter().all(|&other| other != id));
+    assert!(world.workers_running(task(1, 0, 0)).iter().all(|&other| other != id));
 }
 
 #[test]
 fn a_waiting_start_order_is_cancelled_when_the_entry_becomes_unusable() {
-    let mut world = World::new(1);
+    let mut world = SimulatedFleet::new(1);
     world.worker("w0").behaviour = Behaviour::AnswersStartsLate;
     world.submit(1, job(vec![step(2)]));
-    world.run_until("the first order is sent", |world| !world.start_orders.is_empty());
-    world.list_unusable("w0");
+    world.advance_until("the first order is sent", |world| !world.start_orders.is_empty());
+    world.report_unusable("w0");
     world.worker("w0").behaviour = Behaviour::Healthy;
-    world.run_ms(5_000);
+    world.advance_ms(5_000);
     let second = world.start_orders.iter().filter(|(_, task_name, _)| *task_name == task(1, 0, 1));
     assert_eq!(second.count(), 0);
 }
 
 #[test]
 fn a_worker_of_an_unused_service_is_not_polled_until_a_queue_uses_the_service() {
-    let mut world = World::new(1);
-    world.tell(Event::QueuesChanged(vec![queue()]));
+    let mut world = SimulatedFleet::new(1);
+    world.send_event(Event::QueuesChanged(vec![queue()]));
     let entry = world.worker("w0").entry.clone();
     let unused_entry = WorkerEntry {
         id: "w9".into(),
@@ -101,27 +103,27 @@
         ..entry
     };
     let polls = world.polls_of("w9");
-    world.list(unused_entry);
-    world.run_ms(3_000);
+    world.report_listed(unused_entry);
+    world.advance_ms(3_000);
     assert_eq!((world.polls_of("w9"), polls), (0, 0), "the worker is not polled");
     assert!(!world.instances.contains_key("w9"), "nothing is persisted about the worker");
     let other_queue = QueueTerms { name: "more".into(), service: "nowhere".to_owned(), ..queue() };
-    world.tell(Event::QueuesChanged(vec![queue(), other_queue]));
-    world.run_ms(3_000);
+    world.send_event(Event::QueuesChanged(vec![queue(), other_queue]));
+    world.advance_ms(3_000);
     assert!(world.polls_of("w9") > 0);
 }
 
 #[test]
 fn a_worker_whose_entry_names_another_service_keeps_its_runs() {
-    let mut world = World::new(2);
-    world.tell(Event::QueuesChanged(vec![queue()]));
+    let mut world = SimulatedFleet::new(2);
+    world.send_event(Event::QueuesChanged(vec![queue()]));
     world.submit(1, job(vec![long_running_step(2)]));
-    world.run_until("both tasks run", |world| world.starts.len() == 2);
+    world.advance_until("both tasks run", |world| world.starts.len() == 2);
     let id = world.worker_of(task(1, 0, 0));
     let entry = world.worker(&id).entry.clone();
-    world.list(WorkerEntry { service: "nowhere".to_owned(), ..entry.clone() });
+    world.report_listed(WorkerEntry { service: "nowhere".to_owned(), ..entry.clone() });
     world.submit(2, job(vec![step(4)]));
-    world.run_ms(8_000);
+    world.advance_ms(8_000);
     assert_eq!(world.state(2), Some(JobState::Completed));
     assert_eq!(
         world.starts.iter().filter(|(_, task_name, ..)| task_name.job == JobId(1)).count(),
