--- a/crates/kitetrail-core/examples/owner_cost.rs
+++ b/crates/kitetrail-core/examples/owner_cost.rs
@@ -44,9 +44,9 @@
         for workers in WORKERS {
             let mut load = Load::new(workers, build_factor);
             load.run(WARM_UP_MS);
-            let before = Counters::of(&load.world);
+            let before = Counters::of(&load.fleet);
             load.run(MEASURED_MS);
-            report(workers, &before, &Counters::of(&load.world));
+            report(workers, &before, &Counters::of(&load.fleet));
         }
     }
 }
@@ -62,11 +62,11 @@
 }
 
 impl Counters {
-    fn of(world: &SimulatedFleet) -> Self {
+    fn of(fleet: &SimulatedFleet) -> Self {
         let &SimulatedFleet { events, handling_time, allocations, polls, stale_answers, .. } =
-            world;
+            fleet;
         Self {
-            starts: world.starts.len(),
+            starts: fleet.starts.len(),
             events,
             handling_time,
             allocations,
@@ -95,7 +95,7 @@
 
 /// A simulated fleet and the generator of its jobs.
 struct Load {
-    world: SimulatedFleet,
+    fleet: SimulatedFleet,
     rng: ChaCha8Rng,
     workers: f64,
     build_factor: f64,
@@ -106,15 +106,15 @@
 
 impl Load {
     fn new(workers: u32, build_factor: f64) -> Self {
-        let mut world = SimulatedFleet::with_workers((0..workers).map(worker));
-        world.tail_ms = |worker| {
+        let mut fleet = SimulatedFleet::with_workers((0..workers).map(worker));
+        fleet.tail_ms = |worker| {
             let best_effort = worker.running.values().filter(|run| !run.is_serving);
             let used =
                 best_effort.map(|run| run.cpu_millis * u32::from(run.percent) / 100).sum::<u32>();
             12 + 20 * used / worker.entry.capacity.cpu_millis.0
         };
         let mut load = Self {
-            world,
+            fleet,
             rng: ChaCha8Rng::seed_from_u64(1),
             workers: f64::from(workers),
             build_factor,
@@ -125,7 +125,7 @@
         for _ in 0..(load.workers * WATCHERS_PER_WORKER) as u32 {
             let spec = load.watcher();
             load.submit_job(vec![spec]);
-            load.world.advance_ms(10);
+            load.fleet.advance_ms(10);
         }
         load
     }
@@ -146,13 +146,13 @@
                 let second = StepSpec { depends_on: vec![0], ..self.build() };
                 self.submit_job(vec![first, second]);
             }
-            self.world.advance_ms(SUBMIT_INTERVAL_MS);
+            self.fleet.advance_ms(SUBMIT_INTERVAL_MS);
         }
     }
 
     fn submit_job(&mut self, steps: Vec<StepSpec>) {
         self.next_job += 1;
-        self.world.submit(self.next_job, job(steps));
+        self.fleet.submit(self.next_job, job(steps));
     }
 
     fn check(&mut self) -> StepSpec {
--- a/crates/kitetrail-core/tests/fleet/mod.rs
+++ b/crates/kitetrail-core/tests/fleet/mod.rs
@@ -120,7 +120,7 @@
     /// Creates a fleet of the given workers, and a scheduler that knows them.
     pub fn with_workers(workers: impl IntoIterator<Item = FakeWorker>) -> Self {
         let by_id = |worker: FakeWorker| (worker.entry.id.to_string(), worker);
-        let mut world = Self {
+        let mut fleet = Self {
             now: Time::from_ms(1_000),
             scheduler: scheduler(1, InheritedState::default(), Time::from_ms(1_000)),
             workers: workers.into_iter().map(by_id).collect(),
@@ -160,9 +160,9 @@
             specs: BTreeMap::new(),
             submitted_jobs: BTreeMap::new(),
         };
-        world.report_all_listed();
-        world.advance_ms(200);
-        world
+        fleet.report_all_listed();
+        fleet.advance_ms(200);
+        fleet
     }
 
     /// Submits a job.
--- a/crates/kitetrail-core/tests/jobs_acknowledged.rs
+++ b/crates/kitetrail-core/tests/jobs_acknowledged.rs
@@ -47,13 +47,13 @@
 }
 
 /// Submits jobs at a steady rate for some time.
-fn submit_for(world: &mut SimulatedFleet, jobs: &mut Vec<SubmittedJob>, duration_ms: u64) {
+fn submit_for(fleet: &mut SimulatedFleet, jobs: &mut Vec<SubmittedJob>, duration_ms: u64) {
     for _ in 0..duration_ms / SUBMIT_INTERVAL_MS {
         let id = jobs.len() as u64 + 1;
-        let submitted_at = world.now;
-        world.submit(id, job((0..STEPS).map(chained_step).collect()));
+        let submitted_at = fleet.now;
+        fleet.submit(id, job((0..STEPS).map(chained_step).collect()));
         jobs.push(SubmittedJob { id, submitted_at });
-        world.advance_ms(SUBMIT_INTERVAL_MS);
+        fleet.advance_ms(SUBMIT_INTERVAL_MS);
     }
 }
 
@@ -64,14 +64,14 @@
 }
 
 /// Returns the number of ends that workers retain until they are acknowledged.
-fn unacknowledged(world: &SimulatedFleet) -> usize {
-    world.workers.values().map(|worker| worker.ended.len()).sum()
+fn unacknowledged(fleet: &SimulatedFleet) -> usize {
+    fleet.workers.values().map(|worker| worker.ended.len()).sum()
 }
 
 /// Returns the share of the jobs that completed in time, from 0 to 1.
-fn share_in_time(world: &SimulatedFleet, jobs: &[SubmittedJob]) -> f64 {
+fn share_in_time(fleet: &SimulatedFleet, jobs: &[SubmittedJob]) -> f64 {
     let in_time = |job: &&SubmittedJob| {
-        world
+        fleet
             .completed_after(job.id, job.submitted_at)
             .is_some_and(|latency| latency <= TARGET_LATENCY)
     };
@@ -80,36 +80,36 @@
 
 #[test]
 fn persisted_ends_are_acknowledged_while_other_records_wait() {
-    let mut world = SimulatedFleet::new(WORKERS);
+    let mut fleet = SimulatedFleet::new(WORKERS);
     let mut jobs = Vec::new();
-    world.store_latency = SLOW_STORE;
+    fleet.store_latency = SLOW_STORE;
     for _ in 0..20 {
-        submit_for(&mut world, &mut jobs, 1_000);
-        let unacknowledged = unacknowledged(&world);
+        submit_for(&mut fleet, &mut jobs, 1_000);
+        let unacknowledged = unacknowledged(&fleet);
         assert!(
             unacknowledged <= 3 * ENDS_PER_S,
             "{unacknowledged} ends are not acknowledged at {}",
-            world.now
+            fleet.now
         );
     }
 }
 
 #[test]
 fn jobs_complete_in_time_however_long_the_store_is_slow() {
-    let mut world = SimulatedFleet::new(WORKERS);
-    let mut processor = Processor::new(Duration::from_micros(250), world.now);
+    let mut fleet = SimulatedFleet::new(WORKERS);
+    let mut processor = Processor::new(Duration::from_micros(250), fleet.now);
     processor.end_cost = Duration::from_micros(30);
-    world.processor = Some(processor);
+    fleet.processor = Some(processor);
     let mut jobs = Vec::new();
-    submit_for(&mut world, &mut jobs, 3_000);
-    world.store_latency = SLOW_STORE;
-    submit_for(&mut world, &mut jobs, 20_000);
+    submit_for(&mut fleet, &mut jobs, 3_000);
+    fleet.store_latency = SLOW_STORE;
+    submit_for(&mut fleet, &mut jobs, 20_000);
     let late_from = jobs.len();
-    submit_for(&mut world, &mut jobs, 10_000);
-    world.advance_ms(5_000);
+    submit_for(&mut fleet, &mut jobs, 10_000);
+    fleet.advance_ms(5_000);
     let (early, late) = (&jobs[..late_from / 2], &jobs[late_from..]);
-    assert!(share_in_time(&world, early) >= 0.9, "the owner keeps up with the load at first");
-    let served = share_in_time(&world, late);
+    assert!(share_in_time(&fleet, early) >= 0.9, "the owner keeps up with the load at first");
+    let served = share_in_time(&fleet, late);
     assert!(
         served >= 0.9,
         "only {served:.2} of the jobs submitted 20 to 30 s later completed in time"
--- a/crates/kitetrail-core/tests/jobs_crashing.rs
+++ b/crates/kitetrail-core/tests/jobs_crashing.rs
@@ -33,57 +33,57 @@
 
 #[test]
 fn a_task_that_crashes_its_workers_fails_its_job_and_other_jobs_complete() {
-    let mut world = SimulatedFleet::new(12);
+    let mut fleet = SimulatedFleet::new(12);
     let crashing = task(1, 0, 0);
-    world.make_crashing(crashing);
-    world.submit(1, job(vec![step(1)]));
+    fleet.make_crashing(crashing);
+    fleet.submit(1, job(vec![step(1)]));
     for id in 2..=81 {
-        world.submit(id, job(vec![step(4)]));
-        world.advance_ms(250);
+        fleet.submit(id, job(vec![step(4)]));
+        fleet.advance_ms(250);
     }
-    world.advance_ms(40_000);
-    let starts = world.starts_after_third_crash(crashing);
+    fleet.advance_ms(40_000);
+    let starts = fleet.starts_after_third_crash(crashing);
     assert!(starts <= MAX_STARTS_AFTER_THIRD_CRASH, "{starts} starts after the third crash");
-    assert_eq!(world.state(1), Some(JobState::Failed));
-    let others = (2..=81).filter(|&id| world.state(id) != Some(JobState::Completed));
+    assert_eq!(fleet.state(1), Some(JobState::Failed));
+    let others = (2..=81).filter(|&id| fleet.state(id) != Some(JobState::Completed));
     assert_eq!(others.collect::<Vec<_>>(), [0; 0], "other jobs are not completed");
 }
 
 #[test]
 fn a_long_running_task_that_crashes_its_workers_fails_its_job() {
-    let mut world = SimulatedFleet::new(6);
+    let mut fleet = SimulatedFleet::new(6);
     let crashing = task(1, 0, 0);
-    world.make_crashing(crashing);
+    fleet.make_crashing(crashing);
     let long_running = StepSpec { long_running: true, ..step(2) };
-    world.submit(1, job(vec![long_running]));
-    world.advance_ms(40_000);
-    let starts = world.starts_after_third_crash(crashing);
+    fleet.submit(1, job(vec![long_running]));
+    fleet.advance_ms(40_000);
+    let starts = fleet.starts_after_third_crash(crashing);
     assert!(starts <= MAX_STARTS_AFTER_THIRD_CRASH, "{starts} starts after the third crash");
-    assert_eq!(world.state(1), Some(JobState::Failed));
+    assert_eq!(fleet.state(1), Some(JobState::Failed));
 }
 
 #[test]
 fn crashes_are_counted_across_owners_that_die_before_they_notice_them() {
-    let mut world = SimulatedFleet::new(12);
+    let mut fleet = SimulatedFleet::new(12);
     let crashing = task(1, 0, 0);
-    world.make_crashing(crashing);
-    world.submit(1, job(vec![step(1)]));
+    fleet.make_crashing(crashing);
+    fleet.submit(1, job(vec![step(1)]));
     let mut epoch = 1;
     let mut seen = 0;
     let until = Time::from_ms(120_000);
-    while world.now < until && world.state(1) != Some(JobState::Failed) {
-        world.advance_ms(10);
-        if world.crashes_of(crashing) > seen {
-            seen = world.crashes_of(crashing);
+    while fleet.now < until && fleet.state(1) != Some(JobState::Failed) {
+        fleet.advance_ms(10);
+        if fleet.crashes_of(crashing) > seen {
+            seen = fleet.crashes_of(crashing);
             // The owner dies before it can notice the crash.
-            world.advance_ms(20);
+            fleet.advance_ms(20);
             epoch += 1;
-            world.take_over(epoch, false);
+            fleet.take_over(epoch, false);
         }
     }
-    let starts = world.starts_after_third_crash(crashing);
+    let starts = fleet.starts_after_third_crash(crashing);
     assert!(starts <= MAX_STARTS_AFTER_THIRD_CRASH, "{starts} starts after the third crash");
-    assert_eq!(world.state(1), Some(JobState::Failed));
+    assert_eq!(fleet.state(1), Some(JobState::Failed));
 }
 
 /// Returns a step of small long-running tasks, of which many fit on a worker beside a crashing task.
@@ -92,16 +92,16 @@
 }
 
 /// Returns the ids of the healthy workers in random order.
-fn shuffled_healthy_workers(world: &SimulatedFleet, rng: &mut ChaCha8Rng) -> Vec<String> {
-    let healthy = world.workers.iter().filter(|(_, worker)| worker.behaviour == Behaviour::Healthy);
+fn shuffled_healthy_workers(fleet: &SimulatedFleet, rng: &mut ChaCha8Rng) -> Vec<String> {
+    let healthy = fleet.workers.iter().filter(|(_, worker)| worker.behaviour == Behaviour::Healthy);
     let mut ids = healthy.map(|(id, _)| id.clone()).collect::<Vec<_>>();
     ids.shuffle(rng);
     ids
 }
 
 /// Asserts that all these jobs are completed.
-fn assert_completed(world: &SimulatedFleet, ids: impl Iterator<Item = u64>, seed: u64) {
-    let incomplete = ids.filter(|&id| world.state(id) != Some(JobState::Completed));
+fn assert_completed(fleet: &SimulatedFleet, ids: impl Iterator<Item = u64>, seed: u64) {
+    let incomplete = ids.filter(|&id| fleet.state(id) != Some(JobState::Completed));
     assert_eq!(incomplete.collect::<Vec<_>>(), [0; 0], "jobs not completed, seed {seed}");
 }
 
@@ -110,21 +110,21 @@
     // A quarter of the workers crash at once, in some waves as soon as their runs have restarted elsewhere.
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = SimulatedFleet::new(16);
-        world.submit(1, job(vec![long_running_step(24)]));
+        let mut fleet = SimulatedFleet::new(16);
+        fleet.submit(1, job(vec![long_running_step(24)]));
         for wave in 0..8 {
-            world.submit(
+            fleet.submit(
                 10 + wave,
                 job(vec![step(12), StepSpec { depends_on: vec![0], ..step(12) }]),
             );
-            for id in shuffled_healthy_workers(&world, &mut rng).iter().take(4) {
-                world.crash(id);
+            for id in shuffled_healthy_workers(&fleet, &mut rng).iter().take(4) {
+                fleet.crash(id);
             }
-            world.advance_ms(rng.random_range(1_000..8_000));
+            fleet.advance_ms(rng.random_range(1_000..8_000));
         }
-        world.advance_ms(30_000);
-        assert_eq!(world.state(1), Some(JobState::Running), "seed {seed}");
-        assert_completed(&world, 10..18, seed);
+        fleet.advance_ms(30_000);
+        assert_eq!(fleet.state(1), Some(JobState::Running), "seed {seed}");
+        assert_completed(&fleet, 10..18, seed);
     }
 }
 
@@ -133,170 +133,170 @@
     // Each worker crashes every 32 s on average.
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = SimulatedFleet::new(16);
-        world.submit(1, job(vec![long_running_step(24)]));
+        let mut fleet = SimulatedFleet::new(16);
+        fleet.submit(1, job(vec![long_running_step(24)]));
         for round in 0..30 {
-            for id in shuffled_healthy_workers(&world, &mut rng).iter().take(1) {
-                world.crash(id);
+            for id in shuffled_healthy_workers(&fleet, &mut rng).iter().take(1) {
+                fleet.crash(id);
             }
-            world.submit(10 + round, job(vec![step(4)]));
-            world.advance_ms(rng.random_range(0..4_000));
+            fleet.submit(10 + round, job(vec![step(4)]));
+            fleet.advance_ms(rng.random_range(0..4_000));
         }
-        world.advance_ms(30_000);
-        assert_eq!(world.state(1), Some(JobState::Running), "seed {seed}");
-        assert_completed(&world, 10..40, seed);
+        fleet.advance_ms(30_000);
+        assert_eq!(fleet.state(1), Some(JobState::Running), "seed {seed}");
+        assert_completed(&fleet, 10..40, seed);
     }
 }
 
 #[test]
 fn a_crash_of_a_draining_worker_counts_against_no_task() {
-    let mut world = SimulatedFleet::new(4);
-    world.task_duration_ms = Some(60_000);
-    world.submit(1, job(vec![step(1)]));
+    let mut fleet = SimulatedFleet::new(4);
+    fleet.task_duration_ms = Some(60_000);
+    fleet.submit(1, job(vec![step(1)]));
     for round in 0..6 {
-        world.advance_until("the task runs", |world| {
-            !world.workers_running(task(1, 0, 0)).is_empty()
+        fleet.advance_until("the task runs", |fleet| {
+            !fleet.workers_running(task(1, 0, 0)).is_empty()
         });
-        world.advance_ms(if round % 2 == 0 { 50 } else { 2_000 });
-        let worker = world.worker_of(task(1, 0, 0));
-        world.worker(&worker).entry.draining = true;
-        let entry = world.worker(&worker).entry.clone();
-        world.report_listed(entry);
-        world.worker(&worker).crash();
+        fleet.advance_ms(if round % 2 == 0 { 50 } else { 2_000 });
+        let worker = fleet.worker_of(task(1, 0, 0));
+        fleet.worker(&worker).entry.draining = true;
+        let entry = fleet.worker(&worker).entry.clone();
+        fleet.report_listed(entry);
+        fleet.worker(&worker).crash();
         let new_id = format!("again-{round}");
-        world.replace_instance(&worker, &new_id);
-        world.worker(&new_id).entry.draining = false;
-        world.report_all_listed();
+        fleet.replace_instance(&worker, &new_id);
+        fleet.worker(&new_id).entry.draining = false;
+        fleet.report_all_listed();
     }
-    world.advance_ms(5_000);
-    assert_eq!(world.state(1), Some(JobState::Running));
-    assert_eq!(world.counted_crashes(), 0);
+    fleet.advance_ms(5_000);
+    assert_eq!(fleet.state(1), Some(JobState::Running));
+    assert_eq!(fleet.counted_crashes(), 0);
 }
 
 #[test]
 fn a_task_that_runs_long_enough_between_crashes_is_no_longer_suspect() {
-    let mut world = SimulatedFleet::new(6);
+    let mut fleet = SimulatedFleet::new(6);
     let name = task(1, 0, 0);
-    world.submit(1, job(vec![long_running_step(1)]));
+    fleet.submit(1, job(vec![long_running_step(1)]));
     for round in 0..6 {
         // The worker crashes just after the task has started. The task then runs for 5 s on another worker, which
         // drains.
-        world.advance_until("the task runs", |world| !world.workers_running(name).is_empty());
-        let worker = world.worker_of(name);
-        world.advance_ms(50);
-        world.crash(&worker);
-        world.advance_until("the task runs on another worker", |world| {
-            !world.workers_running(name).is_empty()
+        fleet.advance_until("the task runs", |fleet| !fleet.workers_running(name).is_empty());
+        let worker = fleet.worker_of(name);
+        fleet.advance_ms(50);
+        fleet.crash(&worker);
+        fleet.advance_until("the task runs on another worker", |fleet| {
+            !fleet.workers_running(name).is_empty()
         });
-        world.advance_ms(5_000);
-        let worker = world.worker_of(name);
-        world.worker(&worker).entry.draining = true;
-        let entry = world.worker(&worker).entry.clone();
-        world.report_listed(entry);
-        world.advance_until("the task has left the draining worker", |world| {
-            !world.workers_running(name).contains(&worker.as_str())
+        fleet.advance_ms(5_000);
+        let worker = fleet.worker_of(name);
+        fleet.worker(&worker).entry.draining = true;
+        let entry = fleet.worker(&worker).entry.clone();
+        fleet.report_listed(entry);
+        fleet.advance_until("the task has left the draining worker", |fleet| {
+            !fleet.workers_running(name).contains(&worker.as_str())
         });
-        world.worker(&worker).crash();
-        world.advance_ms(50);
+        fleet.worker(&worker).crash();
+        fleet.advance_ms(50);
         let new_id = format!("again-{round}");
-        world.replace_instance(&worker, &new_id);
-        world.worker(&new_id).entry.draining = false;
-        world.report_all_listed();
+        fleet.replace_instance(&worker, &new_id);
+        fleet.worker(&new_id).entry.draining = false;
+        fleet.report_all_listed();
     }
-    world.advance_ms(5_000);
-    assert_eq!(world.state(1), Some(JobState::Running));
+    fleet.advance_ms(5_000);
+    assert_eq!(fleet.state(1), Some(JobState::Running));
 }
 
 #[test]
 fn a_task_lost_in_three_crash_waves_at_its_start_keeps_running() {
-    let mut world = SimulatedFleet::new(12);
+    let mut fleet = SimulatedFleet::new(12);
     let name = task(1, 0, 0);
-    world.submit(1, job(vec![long_running_step(1)]));
+    fleet.submit(1, job(vec![long_running_step(1)]));
     for _ in 0..3 {
-        world.advance_until("the task runs", |world| !world.workers_running(name).is_empty());
-        world.advance_ms(50);
-        let worker = world.worker_of(name);
+        fleet.advance_until("the task runs", |fleet| !fleet.workers_running(name).is_empty());
+        fleet.advance_ms(50);
+        let worker = fleet.worker_of(name);
         let healthy =
-            world.workers.iter().filter(|(_, worker)| worker.behaviour == Behaviour::Healthy);
+            fleet.workers.iter().filter(|(_, worker)| worker.behaviour == Behaviour::Healthy);
         let others = healthy.map(|(id, _)| id.clone()).filter(|id| *id != worker).take(5);
         for id in others.collect::<Vec<_>>().iter().chain([&worker]) {
-            world.crash(id);
+            fleet.crash(id);
         }
     }
-    world.advance_ms(10_000);
-    assert_eq!(world.state(1), Some(JobState::Running));
+    fleet.advance_ms(10_000);
+    assert_eq!(fleet.state(1), Some(JobState::Running));
 }
 
 #[test]
 fn crash_records_fit_into_one_store_row() {
     // 2,000 tasks of one job are lost with their workers and restarted by an owner that did not observe their runs.
-    let mut world = SimulatedFleet::new(64);
+    let mut fleet = SimulatedFleet::new(64);
     let small = StepSpec { long_running: true, size: Resources::new(100, 50, 0), ..step(2_000) };
-    world.submit(1, job(vec![small]));
-    world.advance_until("all tasks run", |world| world.starts.len() == 2_000);
-    let ids = world.workers.keys().cloned().collect::<Vec<_>>();
-    ids.iter().for_each(|id| world.crash(id));
-    world.take_over(2, false);
+    fleet.submit(1, job(vec![small]));
+    fleet.advance_until("all tasks run", |fleet| fleet.starts.len() == 2_000);
+    let ids = fleet.workers.keys().cloned().collect::<Vec<_>>();
+    ids.iter().for_each(|id| fleet.crash(id));
+    fleet.take_over(2, false);
     let mut largest = 0;
     for _ in 0..100 {
-        world.advance_ms(100);
-        let progress = world.progress.get(&JobId(1));
+        fleet.advance_ms(100);
+        let progress = fleet.progress.get(&JobId(1));
         largest =
             largest.max(progress.map_or(0, |progress| serde_json::to_vec(progress).unwrap().len()));
     }
-    assert!(world.starts.len() >= 4_000, "the tasks were not restarted");
+    assert!(fleet.starts.len() >= 4_000, "the tasks were not restarted");
     assert!(largest > 0 && largest < MAX_ROW_BYTES, "{largest} bytes");
     // The records with the highest weight are kept: the last task crashes a worker on its own once more.
     let last = task(1, 0, 1_999);
-    world.make_crashing_after(last, Duration::ZERO);
-    world.advance_until("the task has crashed three workers", |world| world.crashes_of(last) == 3);
-    world.advance_until("the job has failed", |world| world.state(1) == Some(JobState::Failed));
+    fleet.make_crashing_after(last, Duration::ZERO);
+    fleet.advance_until("the task has crashed three workers", |fleet| fleet.crashes_of(last) == 3);
+    fleet.advance_until("the job has failed", |fleet| fleet.state(1) == Some(JobState::Failed));
 }
 
 #[test]
 fn a_suspect_task_runs_on_a_worker_without_other_runs() {
-    let mut world = SimulatedFleet::new(12);
+    let mut fleet = SimulatedFleet::new(12);
     let crashing = task(1, 0, 0);
-    world.make_crashing(crashing);
+    fleet.make_crashing(crashing);
     for id in 2..=6 {
-        world.submit(id, job(vec![long_running_step(4)]));
+        fleet.submit(id, job(vec![long_running_step(4)]));
     }
-    world.advance_ms(1_000);
+    fleet.advance_ms(1_000);
     // Few tasks of this size fit on a worker, so that the task is first placed beside others.
     let large = |count| StepSpec { size: Resources::new(1_500, 512, 0), ..step(count) };
-    world.submit(7, job(vec![large(12)]));
-    world.advance_ms(3_000);
-    world.submit(1, job(vec![large(1)]));
-    world.advance_until("the first crash", |world| world.crashes_of(crashing) == 1);
-    let lost = world.crashes.lost_other_runs;
+    fleet.submit(7, job(vec![large(12)]));
+    fleet.advance_ms(3_000);
+    fleet.submit(1, job(vec![large(1)]));
+    fleet.advance_until("the first crash", |fleet| fleet.crashes_of(crashing) == 1);
+    let lost = fleet.crashes.lost_other_runs;
     assert!(lost > 0, "the first crash lost no other run");
-    world.advance_until("the job has failed", |world| world.state(1) == Some(JobState::Failed));
-    assert_eq!(world.crashes.lost_other_runs, lost, "a later crash lost other runs");
-    assert_eq!(world.crashes_of(crashing), 3);
+    fleet.advance_until("the job has failed", |fleet| fleet.state(1) == Some(JobState::Failed));
+    assert_eq!(fleet.crashes.lost_other_runs, lost, "a later crash lost other runs");
+    assert_eq!(fleet.crashes_of(crashing), 3);
 }
 
 #[test]
 fn a_task_that_crashes_its_worker_late_fails_its_job() {
     for after_ms in [300, 700, 1_500, 4_000] {
-        let mut world = SimulatedFleet::new(8);
-        world.task_duration_ms = Some(9_000);
+        let mut fleet = SimulatedFleet::new(8);
+        fleet.task_duration_ms = Some(9_000);
         let crashing = task(1, 0, 1);
-        world.make_crashing_after(crashing, Duration::from_millis(after_ms));
-        world.submit(2, job(vec![long_running_step(8)]));
-        world.advance_ms(12_000);
-        world.submit(1, job(vec![step(3)]));
-        world.advance_ms(60_000);
-        let starts = world.starts_after_third_crash(crashing);
+        fleet.make_crashing_after(crashing, Duration::from_millis(after_ms));
+        fleet.submit(2, job(vec![long_running_step(8)]));
+        fleet.advance_ms(12_000);
+        fleet.submit(1, job(vec![step(3)]));
+        fleet.advance_ms(60_000);
+        let starts = fleet.starts_after_third_crash(crashing);
         assert!(starts <= MAX_STARTS_AFTER_THIRD_CRASH, "{starts} starts, {after_ms} ms");
-        assert_eq!(world.state(1), Some(JobState::Failed), "{after_ms} ms");
-        assert_eq!(world.state(2), Some(JobState::Running), "{after_ms} ms");
+        assert_eq!(fleet.state(1), Some(JobState::Failed), "{after_ms} ms");
+        assert_eq!(fleet.state(2), Some(JobState::Running), "{after_ms} ms");
     }
 }
 
 #[test]
 fn many_crashing_tasks_at_once_fail_no_other_job() {
     // The reported case: many such jobs of all kinds arrive within some seconds on a fleet that is half full.
-    let mut world = SimulatedFleet::new(32);
+    let mut fleet = SimulatedFleet::new(32);
     let kinds = [
         step(1),
         long_running_step(2),
@@ -305,22 +305,22 @@
         StepSpec { keeps_progress: true, ..step(2) },
     ];
     for id in 200..216 {
-        world.submit(id, job(vec![long_running_step(3)]));
+        fleet.submit(id, job(vec![long_running_step(3)]));
     }
     for id in 1..=10 {
-        world.make_crashing(task(id, 0, 0));
-        world.submit(id, job(vec![kinds[id as usize % kinds.len()].clone()]));
-        world.submit(100 + id, job(vec![step(6)]));
-        world.advance_ms(400);
+        fleet.make_crashing(task(id, 0, 0));
+        fleet.submit(id, job(vec![kinds[id as usize % kinds.len()].clone()]));
+        fleet.submit(100 + id, job(vec![step(6)]));
+        fleet.advance_ms(400);
     }
-    world.advance_ms(60_000);
+    fleet.advance_ms(60_000);
     for id in 1..=10 {
-        let starts = world.starts_after_third_crash(task(id, 0, 0));
+        let starts = fleet.starts_after_third_crash(task(id, 0, 0));
         assert!(starts <= MAX_STARTS_AFTER_THIRD_CRASH, "{starts} starts of job {id}");
-        assert_eq!(world.state(id), Some(JobState::Failed), "job {id}");
-        assert_eq!(world.state(100 + id), Some(JobState::Completed), "job {}", 100 + id);
+        assert_eq!(fleet.state(id), Some(JobState::Failed), "job {id}");
+        assert_eq!(fleet.state(100 + id), Some(JobState::Completed), "job {}", 100 + id);
     }
-    let long_running = (200..216).filter(|&id| world.state(id) != Some(JobState::Running));
+    let long_running = (200..216).filter(|&id| fleet.state(id) != Some(JobState::Running));
     assert_eq!(long_running.collect::<Vec<_>>(), [0; 0], "long-running jobs are not running");
 }
 
@@ -341,39 +341,39 @@
     // 60 on are those of 1,440 further runs that showed a fault.
     for seed in (0..60).chain([117, 273, 321, 329, 401, 753, 770, 799, 820, 933, 959, 1119]) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut world = SimulatedFleet::new(16);
-        world.crashes.return_delay = Duration::from_millis(rng.random_range(1_000..12_000));
-        world.submit(200, job(vec![long_running_step(6)]));
+        let mut fleet = SimulatedFleet::new(16);
+        fleet.crashes.return_delay = Duration::from_millis(rng.random_range(1_000..12_000));
+        fleet.submit(200, job(vec![long_running_step(6)]));
         let mut epoch = 1;
         for id in 1..=4 {
-            world.make_crashing(task(id, 0, 0));
-            world.submit(id, job(vec![random_step(&mut rng)]));
-            world.submit(100 + id, job(vec![step(6)]));
-            world.advance_ms(rng.random_range(0..3_000));
+            fleet.make_crashing(task(id, 0, 0));
+            fleet.submit(id, job(vec![random_step(&mut rng)]));
+            fleet.submit(100 + id, job(vec![step(6)]));
+            fleet.advance_ms(rng.random_range(0..3_000));
         }
         for _ in 0..6 {
             match rng.random_range(0..3) {
-                0 => world.store_down = true,
+                0 => fleet.store_down = true,
                 _ => {
                     epoch += 1;
-                    world.take_over(epoch, rng.random_bool(0.5));
+                    fleet.take_over(epoch, rng.random_bool(0.5));
                 }
             }
-            world.advance_ms(rng.random_range(100..4_000));
-            world.store_down = false;
-            world.advance_ms(rng.random_range(100..6_000));
+            fleet.advance_ms(rng.random_range(100..4_000));
+            fleet.store_down = false;
+            fleet.advance_ms(rng.random_range(100..6_000));
         }
-        world.advance_ms(90_000);
+        fleet.advance_ms(90_000);
         for id in 1..=4 {
-            let starts = world.starts_after_third_crash(task(id, 0, 0));
+            let starts = fleet.starts_after_third_crash(task(id, 0, 0));
             assert!(
                 starts <= MAX_STARTS_AFTER_THIRD_CRASH,
                 "{starts} starts, job {id}, seed {seed}"
             );
-            assert_eq!(world.final_state(id), Some(JobState::Failed), "job {id}, seed {seed}");
-            let other = world.final_state(100 + id);
+            assert_eq!(fleet.final_state(id), Some(JobState::Failed), "job {id}, seed {seed}");
+            let other = fleet.final_state(100 + id);
             assert_eq!(other, Some(JobState::Completed), "job {}, seed {seed}", 100 + id);
         }
-        assert_eq!(world.state(200), Some(JobState::Running), "seed {seed}");
+        assert_eq!(fleet.state(200), Some(JobState::Running), "seed {seed}");
     }
 }
--- a/crates/kitetrail-core/tests/jobs_evacuation.rs
+++ b/crates/kitetrail-core/tests/jobs_evacuation.rs
@@ -19,41 +19,41 @@
 
 /// Returns a fleet whose workers are alternately in zones a and b.
 fn two_zones(workers: u32) -> SimulatedFleet {
-    let mut world = SimulatedFleet::new(0);
+    let mut fleet = SimulatedFleet::new(0);
     for worker_no in 0..workers {
         let mut worker = fleet::FakeWorker::new(worker_no);
         worker.entry.zone = zone_of(worker_no).to_owned();
-        world.workers.insert(format!("w{worker_no}"), worker);
+        fleet.workers.insert(format!("w{worker_no}"), worker);
     }
-    world.report_all_listed();
-    world.advance_ms(200);
-    world
+    fleet.report_all_listed();
+    fleet.advance_ms(200);
+    fleet
 }
 
 fn zone_of(worker: u32) -> &'static str {
     if worker.is_multiple_of(2) { "a" } else { "b" }
 }
 
-fn evacuate(world: &mut SimulatedFleet, zones: &[&str]) {
+fn evacuate(fleet: &mut SimulatedFleet, zones: &[&str]) {
     let zones = zones.iter().map(|&zone| zone.to_owned()).collect::<BTreeSet<_>>();
-    world.send_event(Event::EvacuatedZonesChanged(zones));
+    fleet.send_event(Event::EvacuatedZonesChanged(zones));
 }
 
 /// Returns the number of starts in a zone so far.
-fn start_count(world: &SimulatedFleet, zone: &str) -> usize {
-    let in_zone = |id: &str| world.workers.get(id).is_some_and(|worker| worker.entry.zone == zone);
-    world.starts.iter().filter(|(.., id)| in_zone(id)).count()
+fn start_count(fleet: &SimulatedFleet, zone: &str) -> usize {
+    let in_zone = |id: &str| fleet.workers.get(id).is_some_and(|worker| worker.entry.zone == zone);
+    fleet.starts.iter().filter(|(.., id)| in_zone(id)).count()
 }
 
 /// Returns the number of runs in a zone at present.
-fn run_count(world: &SimulatedFleet, zone: &str) -> usize {
-    let in_zone = world.workers.values().filter(|worker| worker.entry.zone == zone);
+fn run_count(fleet: &SimulatedFleet, zone: &str) -> usize {
+    let in_zone = fleet.workers.values().filter(|worker| worker.entry.zone == zone);
     in_zone.map(|worker| worker.running.len()).sum()
 }
 
 /// Returns the number of long-running tasks that are at work at present.
-fn at_work_count(world: &SimulatedFleet) -> usize {
-    let runs = world.workers.values().flat_map(|worker| worker.running.values());
+fn at_work_count(fleet: &SimulatedFleet) -> usize {
+    let runs = fleet.workers.values().flat_map(|worker| worker.running.values());
     runs.filter(|run| run.is_long_running && run.reported_percent() == 100).count()
 }
 
@@ -61,82 +61,82 @@
     StepSpec { long_running: true, max_unavailable, ..step(count) }
 }
 
-fn is_completed(world: &SimulatedFleet, job: u64) -> bool {
-    world.state(job) == Some(JobState::Completed)
+fn is_completed(fleet: &SimulatedFleet, job: u64) -> bool {
+    fleet.state(job) == Some(JobState::Completed)
 }
 
 #[test]
 fn no_task_starts_in_an_evacuated_zone_until_the_evacuation_ends() {
-    let mut world = two_zones(4);
-    evacuate(&mut world, &["a"]);
-    world.submit(1, job(vec![step(24)]));
-    world.advance_until("the job completes", |world| is_completed(world, 1));
-    assert_eq!((start_count(&world, "a"), start_count(&world, "b")), (0, 24));
-    evacuate(&mut world, &[]);
-    world.submit(2, job(vec![step(16)]));
-    world.advance_until("the job completes", |world| is_completed(world, 2));
-    assert_eq!(start_count(&world, "a"), 8);
+    let mut fleet = two_zones(4);
+    evacuate(&mut fleet, &["a"]);
+    fleet.submit(1, job(vec![step(24)]));
+    fleet.advance_until("the job completes", |fleet| is_completed(fleet, 1));
+    assert_eq!((start_count(&fleet, "a"), start_count(&fleet, "b")), (0, 24));
+    evacuate(&mut fleet, &[]);
+    fleet.submit(2, job(vec![step(16)]));
+    fleet.advance_until("the job completes", |fleet| is_completed(fleet, 2));
+    assert_eq!(start_count(&fleet, "a"), 8);
 }
 
 #[test]
 fn short_tasks_in_an_evacuated_zone_finish() {
-    let mut world = two_zones(4);
-    world.submit(1, job(vec![StepSpec { keeps_progress: true, ..step(8) }]));
-    world.advance_ms(300);
-    assert!(run_count(&world, "a") > 0);
-    evacuate(&mut world, &["a"]);
-    world.advance_until("the job completes", |world| is_completed(world, 1));
-    assert_eq!(world.starts.len(), 8, "there is room in the other zone, but no run moves");
+    let mut fleet = two_zones(4);
+    fleet.submit(1, job(vec![StepSpec { keeps_progress: true, ..step(8) }]));
+    fleet.advance_ms(300);
+    assert!(run_count(&fleet, "a") > 0);
+    evacuate(&mut fleet, &["a"]);
+    fleet.advance_until("the job completes", |fleet| is_completed(fleet, 1));
+    assert_eq!(fleet.starts.len(), 8, "there is room in the other zone, but no run moves");
 }
 
 #[test]
 fn new_owner_that_knows_of_the_evacuation_starts_nothing_in_the_zone() {
-    let mut world = two_zones(2);
-    world.submit(1, job(vec![step(16)]));
-    world.advance_ms(300);
-    evacuate(&mut world, &["a"]);
-    let before = start_count(&world, "a");
-    world.take_over_with(2, true, Event::EvacuatedZonesChanged(["a".to_owned()].into()));
-    world.advance_until("the job completes", |world| is_completed(world, 1));
-    assert_eq!(start_count(&world, "a"), before);
+    let mut fleet = two_zones(2);
+    fleet.submit(1, job(vec![step(16)]));
+    fleet.advance_ms(300);
+    evacuate(&mut fleet, &["a"]);
+    let before = start_count(&fleet, "a");
+    fleet.take_over_with(2, true, Event::EvacuatedZonesChanged(["a".to_owned()].into()));
+    fleet.advance_until("the job completes", |fleet| is_completed(fleet, 1));
+    assert_eq!(start_count(&fleet, "a"), before);
 }
 
 #[test]
 fn worker_listed_during_the_evacuation_gets_no_starts() {
-    let mut world = two_zones(2);
-    evacuate(&mut world, &["a"]);
+    let mut fleet = two_zones(2);
+    evacuate(&mut fleet, &["a"]);
     let mut new_worker = fleet::FakeWorker::new(2);
     new_worker.entry.zone = "a".to_owned();
     let entry = new_worker.entry.clone();
-    world.workers.insert("w2".to_owned(), new_worker);
-    world.report_listed(entry);
-    world.submit(1, job(vec![step(12)]));
-    world.advance_until("the job completes", |world| is_completed(world, 1));
-    assert_eq!(start_count(&world, "a"), 0);
+    fleet.workers.insert("w2".to_owned(), new_worker);
+    fleet.report_listed(entry);
+    fleet.submit(1, job(vec![step(12)]));
+    fleet.advance_until("the job completes", |fleet| is_completed(fleet, 1));
+    assert_eq!(start_count(&fleet, "a"), 0);
 }
 
 #[test]
 fn unsent_starts_go_to_another_zone() {
-    let mut world = two_zones(2);
-    world.worker("w0").behaviour = Behaviour::Partitioned;
-    world.submit(1, job(vec![step(8)]));
-    world.advance_ms(100);
-    evacuate(&mut world, &["a"]);
-    world.worker("w0").behaviour = Behaviour::Healthy;
-    world.advance_until("the job completes", |world| is_completed(world, 1));
-    assert_eq!(start_count(&world, "a"), 0, "{:?}", world.starts);
+    let mut fleet = two_zones(2);
+    fleet.worker("w0").behaviour = Behaviour::Partitioned;
+    fleet.submit(1, job(vec![step(8)]));
+    fleet.advance_ms(100);
+    evacuate(&mut fleet, &["a"]);
+    fleet.worker("w0").behaviour = Behaviour::Healthy;
+    fleet.advance_until("the job completes", |fleet| is_completed(fleet, 1));
+    assert_eq!(start_count(&fleet, "a"), 0, "{:?}", fleet.starts);
 }
 
 #[test]
 fn unsent_starts_of_a_silent_worker_do_not_wait_for_its_lease() {
-    let mut world = two_zones(2);
-    world.worker("w0").behaviour = Behaviour::Partitioned;
-    world.submit(1, job(vec![step(6)]));
-    world.advance_ms(100);
-    evacuate(&mut world, &["a"]);
-    world.advance_ms(1_500);
+    let mut fleet = two_zones(2);
+    fleet.worker("w0").behaviour = Behaviour::Partitioned;
+    fleet.submit(1, job(vec![step(6)]));
+    fleet.advance_ms(100);
+    evacuate(&mut fleet, &["a"]);
+    fleet.advance_ms(1_500);
     assert_eq!(
-        start_count(&world, "b"),
+        start_count(&fleet, "b"),
         5,
         "all but the one that may have reached the silent worker"
     );
@@ -144,176 +144,176 @@
 
 #[test]
 fn retries_and_copies_go_to_another_zone() {
-    let mut world = two_zones(4);
-    world.task_duration_ms = Some(3_000);
-    world.submit(1, job(vec![StepSpec { copies_allowed: true, ..step(4) }]));
-    world.submit(2, job(vec![step(8)]));
-    world.advance_ms(500);
-    evacuate(&mut world, &["a"]);
-    let before = start_count(&world, "a");
-    world.worker("w1").behaviour = Behaviour::Partitioned;
-    world.worker("w0").behaviour = Behaviour::Failing;
-    world.advance_until("all jobs complete", |world| {
-        is_completed(world, 1) && is_completed(world, 2)
+    let mut fleet = two_zones(4);
+    fleet.task_duration_ms = Some(3_000);
+    fleet.submit(1, job(vec![StepSpec { copies_allowed: true, ..step(4) }]));
+    fleet.submit(2, job(vec![step(8)]));
+    fleet.advance_ms(500);
+    evacuate(&mut fleet, &["a"]);
+    let before = start_count(&fleet, "a");
+    fleet.worker("w1").behaviour = Behaviour::Partitioned;
+    fleet.worker("w0").behaviour = Behaviour::Failing;
+    fleet.advance_until("all jobs complete", |fleet| {
+        is_completed(fleet, 1) && is_completed(fleet, 2)
     });
-    assert_eq!(start_count(&world, "a"), before);
+    assert_eq!(start_count(&fleet, "a"), before);
 }
 
 #[test]
 fn tasks_near_a_rack_in_an_evacuated_zone_go_to_another_zone() {
-    let mut world = two_zones(4);
+    let mut fleet = two_zones(4);
     for worker_no in 0..4 {
-        let worker = world.worker(&format!("w{worker_no}"));
+        let worker = fleet.worker(&format!("w{worker_no}"));
         worker.entry.rack = format!("r-{}", zone_of(worker_no));
         worker.entry.labels = vec!["plain".to_owned(), worker.entry.rack.clone()];
     }
-    world.report_all_listed();
-    evacuate(&mut world, &["a"]);
+    fleet.report_all_listed();
+    evacuate(&mut fleet, &["a"]);
     let near = StepSpec { near_rack: Some("r-a".to_owned()), ..step(4) };
-    world.submit(1, job(vec![near]));
-    world.advance_until("the job completes", |world| is_completed(world, 1));
-    assert_eq!(start_count(&world, "a"), 0);
+    fleet.submit(1, job(vec![near]));
+    fleet.advance_until("the job completes", |fleet| is_completed(fleet, 1));
+    assert_eq!(start_count(&fleet, "a"), 0);
 }
 
 #[test]
 fn long_running_tasks_move_one_after_the_other() {
-    let mut world = two_zones(8);
-    world.submit(1, job(vec![long_running(12, Some(2))]));
-    world.advance_ms(3_000);
-    let in_zone = run_count(&world, "a");
+    let mut fleet = two_zones(8);
+    fleet.submit(1, job(vec![long_running(12, Some(2))]));
+    fleet.advance_ms(3_000);
+    let in_zone = run_count(&fleet, "a");
     assert!(in_zone > 0, "some runs must be in the zone");
-    evacuate(&mut world, &["a"]);
+    evacuate(&mut fleet, &["a"]);
     let mut fewest_at_work = 12;
     for _ in 0..2_000 {
-        world.advance_ms(10);
-        fewest_at_work = fewest_at_work.min(at_work_count(&world));
+        fleet.advance_ms(10);
+        fewest_at_work = fewest_at_work.min(at_work_count(&fleet));
     }
-    assert_eq!(run_count(&world, "a"), 0);
-    assert_eq!(run_count(&world, "b"), 12);
+    assert_eq!(run_count(&fleet, "a"), 0);
+    assert_eq!(run_count(&fleet, "b"), 12);
     assert_eq!(fewest_at_work, 11, "more than one task was away at a time");
-    assert_eq!(world.starts.len(), 12 + in_zone);
+    assert_eq!(fleet.starts.len(), 12 + in_zone);
 }
 
 #[test]
 fn tasks_of_a_step_that_may_miss_none_stay() {
-    let mut world = two_zones(4);
-    world.submit(1, job(vec![long_running(4, Some(0))]));
-    world.advance_ms(1_000);
-    evacuate(&mut world, &["a"]);
-    world.advance_ms(5_000);
-    assert_eq!(world.starts.len(), 4);
-    assert_eq!(run_count(&world, "a") + run_count(&world, "b"), 4);
+    let mut fleet = two_zones(4);
+    fleet.submit(1, job(vec![long_running(4, Some(0))]));
+    fleet.advance_ms(1_000);
+    evacuate(&mut fleet, &["a"]);
+    fleet.advance_ms(5_000);
+    assert_eq!(fleet.starts.len(), 4);
+    assert_eq!(run_count(&fleet, "a") + run_count(&fleet, "b"), 4);
 }
 
 #[test]
 fn long_running_tasks_stay_if_there_is_no_room_in_other_zones() {
-    let mut world = two_zones(2);
-    world.submit(1, job(vec![long_running(8, None)]));
-    world.advance_ms(1_000);
-    evacuate(&mut world, &["a"]);
-    world.advance_ms(5_000);
-    assert_eq!((run_count(&world, "a"), run_count(&world, "b")), (4, 4));
-    assert_eq!(world.starts.len(), 8);
+    let mut fleet = two_zones(2);
+    fleet.submit(1, job(vec![long_running(8, None)]));
+    fleet.advance_ms(1_000);
+    evacuate(&mut fleet, &["a"]);
+    fleet.advance_ms(5_000);
+    assert_eq!((run_count(&fleet, "a"), run_count(&fleet, "b")), (4, 4));
+    assert_eq!(fleet.starts.len(), 8);
 }
 
 #[test]
 fn serving_task_does_not_move_beside_a_task_known_to_interfere() {
-    let mut world = two_zones(2);
-    world.task_duration_ms = Some(600_000);
+    let mut fleet = two_zones(2);
+    fleet.task_duration_ms = Some(600_000);
     let image = |name: &str| Some(name.to_owned());
-    world.submit(
+    fleet.submit(
         1,
         job(vec![StepSpec { best_effort: true, image: image("disturbing"), ..step(1) }]),
     );
-    world.advance_ms(1_000);
+    fleet.advance_ms(1_000);
     let interfering = ServingEffects {
         image: "sensitive".to_owned(),
         effects: vec![("disturbing".to_owned(), 3.0)],
         lowest_tail_ms: 10.0,
     };
-    world.effects = EffectsRecord { serving: vec![interfering] };
-    world.take_over(2, true);
-    world.advance_ms(1_000);
+    fleet.effects = EffectsRecord { serving: vec![interfering] };
+    fleet.take_over(2, true);
+    fleet.advance_ms(1_000);
     let serving =
         StepSpec { image: image("sensitive"), tail_target_ms: Some(50), ..long_running(1, None) };
-    world.submit(2, job(vec![serving]));
-    world.advance_ms(2_000);
+    fleet.submit(2, job(vec![serving]));
+    fleet.advance_ms(2_000);
     let (serving_worker, best_effort_worker) =
-        (world.worker_of(task(2, 0, 0)), world.worker_of(task(1, 0, 0)));
-    let zone = world.workers[&serving_worker].entry.zone.clone();
+        (fleet.worker_of(task(2, 0, 0)), fleet.worker_of(task(1, 0, 0)));
+    let zone = fleet.workers[&serving_worker].entry.zone.clone();
     assert_ne!(serving_worker, best_effort_worker);
-    evacuate(&mut world, &[zone.as_str()]);
-    world.advance_ms(3_000);
+    evacuate(&mut fleet, &[zone.as_str()]);
+    fleet.advance_ms(3_000);
     assert_eq!(
-        world.workers_running(task(2, 0, 0)),
+        fleet.workers_running(task(2, 0, 0)),
         [serving_worker.as_str()],
         "the serving task moved beside a task known to interfere"
     );
-    world.cancel(1);
-    world.advance_until("the serving task moves", |world| {
-        world.workers_running(task(2, 0, 0)) == [best_effort_worker.as_str()]
+    fleet.cancel(1);
+    fleet.advance_until("the serving task moves", |fleet| {
+        fleet.workers_running(task(2, 0, 0)) == [best_effort_worker.as_str()]
     });
 }
 
 #[test]
 fn long_tasks_that_keep_their_progress_move() {
-    let mut world = two_zones(4);
-    world.task_duration_ms = Some(40_000);
-    world.submit(1, job(vec![StepSpec { keeps_progress: true, estimate_ms: 40_000, ..step(4) }]));
-    world.advance_ms(3_000);
-    assert!(run_count(&world, "a") > 0, "some runs must be in the zone");
-    evacuate(&mut world, &["a"]);
-    world.advance_ms(6_000);
-    assert_eq!((run_count(&world, "a"), run_count(&world, "b")), (0, 4));
+    let mut fleet = two_zones(4);
+    fleet.task_duration_ms = Some(40_000);
+    fleet.submit(1, job(vec![StepSpec { keeps_progress: true, estimate_ms: 40_000, ..step(4) }]));
+    fleet.advance_ms(3_000);
+    assert!(run_count(&fleet, "a") > 0, "some runs must be in the zone");
+    evacuate(&mut fleet, &["a"]);
+    fleet.advance_ms(6_000);
+    assert_eq!((run_count(&fleet, "a"), run_count(&fleet, "b")), (0, 4));
 }
 
 #[test]
 fn tasks_that_only_an_evacuated_zone_can_run_wait_and_are_logged() {
-    let mut world = two_zones(2);
+    let mut fleet = two_zones(2);
     let large_capacity = Resources::new(8_000, 1_024, 0);
-    world.worker("w0").entry.capacity = large_capacity;
-    world.report_all_listed();
-    evacuate(&mut world, &["a"]);
-    world.submit(1, job(vec![StepSpec { size: Resources::new(6_000, 512, 0), ..step(2) }]));
-    world.advance_ms(3_000);
-    assert!(world.starts.is_empty());
+    fleet.worker("w0").entry.capacity = large_capacity;
+    fleet.report_all_listed();
+    evacuate(&mut fleet, &["a"]);
+    fleet.submit(1, job(vec![StepSpec { size: Resources::new(6_000, 512, 0), ..step(2) }]));
+    fleet.advance_ms(3_000);
+    assert!(fleet.starts.is_empty());
     let is_waiting_entry =
         |(_, entry): &&(_, LogEntry)| matches!(entry, LogEntry::WaitsForZone { .. });
     assert_eq!(
-        world.log_entries.iter().filter(is_waiting_entry).count(),
+        fleet.log_entries.iter().filter(is_waiting_entry).count(),
         1,
         "one log entry for the step"
     );
-    evacuate(&mut world, &[]);
-    world.advance_until("the job completes", |world| is_completed(world, 1));
+    evacuate(&mut fleet, &[]);
+    fleet.advance_until("the job completes", |fleet| is_completed(fleet, 1));
 }
 
 #[test]
 fn jobs_wait_while_all_zones_are_evacuated() {
-    let mut world = two_zones(2);
-    evacuate(&mut world, &["a", "b"]);
-    world.submit(1, job(vec![step(4)]));
-    world.advance_ms(5_000);
-    assert!(world.starts.is_empty());
-    evacuate(&mut world, &["b"]);
-    world.advance_until("the job completes", |world| is_completed(world, 1));
-    assert_eq!(start_count(&world, "b"), 0);
+    let mut fleet = two_zones(2);
+    evacuate(&mut fleet, &["a", "b"]);
+    fleet.submit(1, job(vec![step(4)]));
+    fleet.advance_ms(5_000);
+    assert!(fleet.starts.is_empty());
+    evacuate(&mut fleet, &["b"]);
+    fleet.advance_until("the job completes", |fleet| is_completed(fleet, 1));
+    assert_eq!(start_count(&fleet, "b"), 0);
 }
 
 #[test]
 fn partly_ordered_gang_starts_whole_in_another_zone() {
-    let mut world = two_zones(4);
-    world.worker("w0").behaviour = Behaviour::Partitioned;
-    world.submit(1, job(vec![StepSpec { gang: true, max_per_worker: Some(2), ..step(4) }]));
-    world.advance_ms(50);
-    evacuate(&mut world, &["a"]);
-    let before = start_count(&world, "a");
-    world.worker("w0").behaviour = Behaviour::Healthy;
-    world.advance_until("the job completes", |world| is_completed(world, 1));
-    assert_eq!(start_count(&world, "a"), before);
-    let last = world.starts.iter().map(|(_, _, run, _)| *run).max();
-    let together = world.starts.iter().filter(|(_, _, run, _)| Some(*run) == last);
-    assert_eq!(together.count(), 4, "all members of one run: {:?}", world.starts);
+    let mut fleet = two_zones(4);
+    fleet.worker("w0").behaviour = Behaviour::Partitioned;
+    fleet.submit(1, job(vec![StepSpec { gang: true, max_per_worker: Some(2), ..step(4) }]));
+    fleet.advance_ms(50);
+    evacuate(&mut fleet, &["a"]);
+    let before = start_count(&fleet, "a");
+    fleet.worker("w0").behaviour = Behaviour::Healthy;
+    fleet.advance_until("the job completes", |fleet| is_completed(fleet, 1));
+    assert_eq!(start_count(&fleet, "a"), before);
+    let last = fleet.starts.iter().map(|(_, _, run, _)| *run).max();
+    let together = fleet.starts.iter().filter(|(_, _, run, _)| Some(*run) == last);
+    assert_eq!(together.count(), 4, "all members of one run: {:?}", fleet.starts);
 }
 
 /// An operation of a random run.
@@ -347,7 +347,7 @@
 
 /// The state of a random run.
 struct RandomRun {
-    world: SimulatedFleet,
+    fleet: SimulatedFleet,
     evacuated: BTreeSet<String>,
     jobs: Vec<(u64, bool)>,
     epoch: u64,
@@ -363,23 +363,23 @@
                     .filter(|(_, is_wanted)| *is_wanted)
                     .map(|(zone, _)| zone.to_owned())
                     .collect();
-                self.world.send_event(Event::EvacuatedZonesChanged(self.evacuated.clone()));
+                self.fleet.send_event(Event::EvacuatedZonesChanged(self.evacuated.clone()));
             }
             Operation::TakeOver { stopped } => {
                 self.epoch += 1;
                 let event = Event::EvacuatedZonesChanged(self.evacuated.clone());
-                self.world.take_over_with(self.epoch, stopped, event);
+                self.fleet.take_over_with(self.epoch, stopped, event);
             }
             Operation::Crash(worker_no) => {
-                let id = self.world.workers.keys().nth(worker_no as usize).unwrap().clone();
+                let id = self.fleet.workers.keys().nth(worker_no as usize).unwrap().clone();
                 self.restarts += 1;
                 let new_id = format!("x{}", self.restarts);
-                self.world.replace_instance(&id, &new_id);
-                self.world.report_all_listed();
+                self.fleet.replace_instance(&id, &new_id);
+                self.fleet.report_all_listed();
             }
             Operation::Behaviour(worker_no, behaviour) => {
-                let id = self.world.workers.keys().nth(worker_no as usize).unwrap().clone();
-                self.world.worker(&id).behaviour = behaviour;
+                let id = self.fleet.workers.keys().nth(worker_no as usize).unwrap().clone();
+                self.fleet.worker(&id).behaviour = behaviour;
             }
             Operation::Submit { tasks, long_running, copies_allowed, keeps_progress } => {
                 let id = self.jobs.len() as u64 + 1;
@@ -387,17 +387,17 @@
                 let copies_allowed = copies_allowed && !long_running;
                 let keeps_progress = keeps_progress && !long_running;
                 let step = StepSpec { long_running, copies_allowed, keeps_progress, ..step(tasks) };
-                self.world.submit(id, job(vec![step]));
+                self.fleet.submit(id, job(vec![step]));
             }
         }
     }
 
-    /// Runs the world for `ms`, and checks where tasks were ordered to start.
+    /// Runs the fleet for `ms`, and checks where tasks were ordered to start.
     fn advance_ms(&mut self, ms: u64) {
-        let from = self.world.start_orders.len();
-        self.world.advance_ms(ms);
-        for (at, name, id) in &self.world.start_orders[from..] {
-            let Some(worker) = self.world.workers.get(id) else { continue };
+        let from = self.fleet.start_orders.len();
+        self.fleet.advance_ms(ms);
+        for (at, name, id) in &self.fleet.start_orders[from..] {
+            let Some(worker) = self.fleet.workers.get(id) else { continue };
             assert!(!self.evacuated.contains(&worker.entry.zone), "{name} at {at} on {id}");
         }
     }
@@ -409,7 +409,7 @@
     #[test]
     fn random_operations_start_nothing_in_evacuated_zones_and_all_jobs_complete(operations in operations()) {
         let mut run = RandomRun {
-            world: two_zones(6),
+            fleet: two_zones(6),
             evacuated: BTreeSet::new(),
             jobs: Vec::new(),
             epoch: 1,
@@ -421,14 +421,14 @@
             run.advance_ms(ms);
         }
         run.take(Operation::Evacuate([false, false]));
-        run.world.set_behaviours(Behaviour::Healthy);
+        run.fleet.set_behaviours(Behaviour::Healthy);
         let jobs_that_end = run.jobs.iter().filter(|(_, long_running)| !long_running).map(|(id, _)| *id);
         let jobs_that_end = jobs_that_end.collect::<Vec<_>>();
         for (id, _) in run.jobs.iter().filter(|(_, long_running)| *long_running) {
-            run.world.cancel(*id);
+            run.fleet.cancel(*id);
         }
-        run.world.advance_until("all jobs complete", |world| {
-            jobs_that_end.iter().all(|&id| world.state(id) == Some(JobState::Completed))
+        run.fleet.advance_until("all jobs complete", |fleet| {
+            jobs_that_end.iter().all(|&id| fleet.state(id) == Some(JobState::Completed))
         });
     }
 }
--- a/crates/kitetrail-core/tests/jobs_kept.rs
+++ b/crates/kitetrail-core/tests/jobs_kept.rs
@@ -10,75 +10,75 @@
 
 #[test]
 fn only_the_outcome_of_an_ended_job_is_persisted() {
-    let mut world = SimulatedFleet::new(2);
-    world.submit(1, job(vec![step(2)]));
-    world.advance_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
+    let mut fleet = SimulatedFleet::new(2);
+    fleet.submit(1, job(vec![step(2)]));
+    fleet.advance_until("the job completes", |fleet| fleet.state(1) == Some(JobState::Completed));
     assert!(
-        world.jobs.is_empty() && world.progress.len() == 1,
+        fleet.jobs.is_empty() && fleet.progress.len() == 1,
         "the steps are no longer persisted"
     );
-    world.take_over(2, true);
-    assert_eq!(world.state(1), Some(JobState::Completed));
-    let resubmission = world.submit(1, job(vec![step(2)]));
-    world.advance_ms(2_000);
+    fleet.take_over(2, true);
+    assert_eq!(fleet.state(1), Some(JobState::Completed));
+    let resubmission = fleet.submit(1, job(vec![step(2)]));
+    fleet.advance_ms(2_000);
     assert!(
-        world.answered_at(resubmission).is_some(),
+        fleet.answered_at(resubmission).is_some(),
         "the second submission is accepted as the same job"
     );
-    assert_eq!(world.starts.len(), 2, "the same id must not run twice");
-    world.advance_ms(120_000);
-    assert_eq!(world.state(1), None, "the state is dropped after the retention time");
-    assert!(world.progress.is_empty());
+    assert_eq!(fleet.starts.len(), 2, "the same id must not run twice");
+    fleet.advance_ms(120_000);
+    assert_eq!(fleet.state(1), None, "the state is dropped after the retention time");
+    assert!(fleet.progress.is_empty());
 }
 
 #[test]
 fn a_job_resubmitted_when_its_state_expires_is_persisted() {
-    let mut world = SimulatedFleet::new(2);
-    world.submit(1, job(vec![step(1)]));
-    world.advance_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
-    world.advance_ms(100_000);
-    world.advance_until("the state expires", |world| world.state(1).is_none());
-    world.submit(1, job(vec![step(1)]));
-    world.advance_until("the resubmitted job runs", |world| {
-        world.state(1) == Some(JobState::Running)
+    let mut fleet = SimulatedFleet::new(2);
+    fleet.submit(1, job(vec![step(1)]));
+    fleet.advance_until("the job completes", |fleet| fleet.state(1) == Some(JobState::Completed));
+    fleet.advance_ms(100_000);
+    fleet.advance_until("the state expires", |fleet| fleet.state(1).is_none());
+    fleet.submit(1, job(vec![step(1)]));
+    fleet.advance_until("the resubmitted job runs", |fleet| {
+        fleet.state(1) == Some(JobState::Running)
     });
-    world.take_over(2, true);
+    fleet.take_over(2, true);
     assert_eq!(
-        world.state(1),
+        fleet.state(1),
         Some(JobState::Queued),
         "the earlier end must not count for the resubmitted job"
     );
-    world.advance_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
+    fleet.advance_until("the job completes", |fleet| fleet.state(1) == Some(JobState::Completed));
 }
 
 #[test]
 fn completed_occurrences_of_a_schedule_are_not_persisted_one_by_one() {
-    let mut world = SimulatedFleet::new(2);
+    let mut fleet = SimulatedFleet::new(2);
     let schedule =
         Schedule { start_at_unix_ms: CLOCK_ZERO_UNIX_MS + 2_000, interval_ms: 3_000, count: 6 };
-    world.submit(1, JobSpec { schedule: Some(schedule), ..job(vec![step(1)]) });
-    world.advance_until("four occurrences are done", |world| world.starts.len() == 5);
-    world.advance_ms(300);
-    let stored = &world.progress[&JobId(1)];
+    fleet.submit(1, JobSpec { schedule: Some(schedule), ..job(vec![step(1)]) });
+    fleet.advance_until("four occurrences are done", |fleet| fleet.starts.len() == 5);
+    fleet.advance_ms(300);
+    let stored = &fleet.progress[&JobId(1)];
     assert_eq!(stored.done_before, 4);
     assert!(stored.occurrences.len() <= 1, "{:?}", stored.occurrences);
-    world.take_over(2, true);
-    world.advance_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
-    assert_eq!(world.starts.len(), 6, "each occurrence ran once");
+    fleet.take_over(2, true);
+    fleet.advance_until("the job completes", |fleet| fleet.state(1) == Some(JobState::Completed));
+    assert_eq!(fleet.starts.len(), 6, "each occurrence ran once");
 }
 
 /// The store rejects a batch with more entries than its limit, and the owner would resend it
 /// forever.
 #[test]
 fn a_batch_of_jobs_that_end_while_their_progress_waits_stays_within_the_store_limit() {
-    let mut world = SimulatedFleet::new(200);
-    world.store_latency = Duration::from_millis(600);
+    let mut fleet = SimulatedFleet::new(200);
+    fleet.store_latency = Duration::from_millis(600);
     let second = StepSpec { depends_on: vec![0], estimate_ms: 200, ..step(1) };
     for id in 1..=200 {
-        world.submit(id, job(vec![StepSpec { estimate_ms: 200, ..step(1) }, second.clone()]));
+        fleet.submit(id, job(vec![StepSpec { estimate_ms: 200, ..step(1) }, second.clone()]));
     }
-    world.advance_until("all jobs complete", |world| {
-        (1..=200).all(|id| world.state(id) == Some(JobState::Completed))
+    fleet.advance_until("all jobs complete", |fleet| {
+        (1..=200).all(|id| fleet.state(id) == Some(JobState::Completed))
     });
 }
 
@@ -86,19 +86,19 @@
 fn callers_who_cancel_are_answered_in_time_while_the_store_is_slow() {
     // A batch holds 90 entries and takes 0.3 s. 200 jobs each have a task that ends about every
     // 0.25 s.
-    let mut world = SimulatedFleet::new(60);
-    world.task_duration_ms = Some(250);
-    world.store_latency = Duration::from_millis(300);
+    let mut fleet = SimulatedFleet::new(60);
+    fleet.task_duration_ms = Some(250);
+    fleet.store_latency = Duration::from_millis(300);
     let predecessor = |number: u32| number.checked_sub(1).into_iter().collect();
     let steps = (0..40).map(|number| StepSpec { depends_on: predecessor(number), ..step(1) });
     for id in 1..=200 {
-        world.submit(id, job(steps.clone().collect()));
+        fleet.submit(id, job(steps.clone().collect()));
     }
-    world.advance_ms(4_000);
-    let requests = [3, 100, 197, 200].map(|id| (id, world.now, world.cancel(id)));
-    world.advance_ms(5_000);
+    fleet.advance_ms(4_000);
+    let requests = [3, 100, 197, 200].map(|id| (id, fleet.now, fleet.cancel(id)));
+    fleet.advance_ms(5_000);
     for (id, cancelled_at, request) in requests {
-        let waited = world.answered_at(request).map(|answered| answered.since(cancelled_at));
+        let waited = fleet.answered_at(request).map(|answered| answered.since(cancelled_at));
         // Boxes wait 1.3 s for the owner. If lower ids went first, job 100 would get no answer
         // within 5 s.
         let in_time = waited.is_some_and(|waited| waited <= Duration::from_millis(1_300));
@@ -110,20 +110,20 @@
 fn callers_who_cancel_do_not_wait_for_the_progress_of_other_jobs() {
     // The progress of 450 jobs fills five batches of 0.3 s each. Queued behind them, a cancellation
     // takes 1.8 s.
-    let mut world = SimulatedFleet::new(120);
-    world.task_duration_ms = Some(250);
+    let mut fleet = SimulatedFleet::new(120);
+    fleet.task_duration_ms = Some(250);
     let predecessor = |number: u32| number.checked_sub(1).into_iter().collect();
     let steps = (0..60).map(|number| StepSpec { depends_on: predecessor(number), ..step(1) });
     for id in 1..=450 {
-        world.submit(id, job(steps.clone().collect()));
-        world.advance_ms(10);
+        fleet.submit(id, job(steps.clone().collect()));
+        fleet.advance_ms(10);
     }
-    world.store_latency = Duration::from_millis(300);
-    world.advance_ms(3_000);
-    let requests = [3, 100, 330, 450].map(|id| (id, world.now, world.cancel(id)));
-    world.advance_ms(5_000);
+    fleet.store_latency = Duration::from_millis(300);
+    fleet.advance_ms(3_000);
+    let requests = [3, 100, 330, 450].map(|id| (id, fleet.now, fleet.cancel(id)));
+    fleet.advance_ms(5_000);
     for (id, cancelled_at, request) in requests {
-        let waited = world.answered_at(request).map(|answered| answered.since(cancelled_at));
+        let waited = fleet.answered_at(request).map(|answered| answered.since(cancelled_at));
         let in_time = waited.is_some_and(|waited| waited <= Duration::from_millis(1_300));
         assert!(in_time, "job {id}: answered after {waited:?}");
     }
@@ -141,59 +141,59 @@
 
 #[test]
 fn a_job_cancelled_before_it_is_persisted_is_accepted_only_with_its_end() {
-    let mut world = SimulatedFleet::new(1);
-    world.store_down = true;
-    world.submit(100, job(vec![step(1)]));
-    world.advance_ms(30);
+    let mut fleet = SimulatedFleet::new(1);
+    fleet.store_down = true;
+    fleet.submit(100, job(vec![step(1)]));
+    fleet.advance_ms(30);
     // More jobs than one batch holds. The last ones are cancelled at once.
     for id in 1..=45 {
-        world.submit(id, job(vec![step(1)]));
-        world.cancel(id);
+        fleet.submit(id, job(vec![step(1)]));
+        fleet.cancel(id);
     }
-    world.store_down = false;
-    // The simulated world panics if a job is accepted of which nothing is persisted.
-    world.advance_until("the last job is cancelled", |world| {
-        world.state(45) == Some(JobState::Cancelled)
+    fleet.store_down = false;
+    // The simulated fleet panics if a job is accepted of which nothing is persisted.
+    fleet.advance_until("the last job is cancelled", |fleet| {
+        fleet.state(45) == Some(JobState::Cancelled)
     });
-    assert_eq!(world.progress.len(), 45);
+    assert_eq!(fleet.progress.len(), 45);
 }
 
 #[test]
 fn progress_without_a_readable_specification_does_not_end_a_job() {
-    let mut world = SimulatedFleet::new(2);
+    let mut fleet = SimulatedFleet::new(2);
     let steps = job(vec![step(2), StepSpec { depends_on: vec![0], ..step(1) }]);
-    world.submit(1, steps.clone());
-    world.advance_until("the first step is done", |world| world.starts.len() == 3);
-    world.advance_ms(300);
-    world.jobs.clear();
-    world.take_over(2, true);
-    assert_eq!(world.state(1), None, "the job is reported neither as running nor as ended");
-    let resubmission = world.submit(1, steps);
-    world.advance_ms(100);
+    fleet.submit(1, steps.clone());
+    fleet.advance_until("the first step is done", |fleet| fleet.starts.len() == 3);
+    fleet.advance_ms(300);
+    fleet.jobs.clear();
+    fleet.take_over(2, true);
+    assert_eq!(fleet.state(1), None, "the job is reported neither as running nor as ended");
+    let resubmission = fleet.submit(1, steps);
+    fleet.advance_ms(100);
     assert!(
-        world.answered_at(resubmission).is_some() && world.jobs.contains_key(&JobId(1)),
+        fleet.answered_at(resubmission).is_some() && fleet.jobs.contains_key(&JobId(1)),
         "the job is persisted again"
     );
 }
 
 #[test]
 fn records_of_silent_workers_do_not_wait_for_a_burst_of_jobs() {
-    let mut world = SimulatedFleet::new(40);
-    world.store_latency = Duration::from_millis(100);
-    world.advance_ms(1_000);
+    let mut fleet = SimulatedFleet::new(40);
+    fleet.store_latency = Duration::from_millis(100);
+    fleet.advance_ms(1_000);
     let silent = (0..30).map(|number| format!("w{number}")).collect::<Vec<_>>();
     for id in &silent {
-        world.worker(id).crash();
+        fleet.worker(id).crash();
     }
     // More jobs than the store can take. The owner notices the silence at the next poll, after 5 s
     // on idle workers.
     for id in 0..3_500 {
-        world.submit(100 + id, job(vec![step(1)]));
+        fleet.submit(100 + id, job(vec![step(1)]));
         if id % 5 == 0 {
-            world.advance_ms(10);
+            fleet.advance_ms(10);
         }
     }
     let not_leased =
-        |id: &&String| world.instances.get(id.as_str()).is_some_and(|instance| instance.not_leased);
+        |id: &&String| fleet.instances.get(id.as_str()).is_some_and(|instance| instance.not_leased);
     assert_eq!(silent.iter().filter(not_leased).count(), 30);
 }
--- a/crates/kitetrail-core/tests/jobs_overload.rs
+++ b/crates/kitetrail-core/tests/jobs_overload.rs
@@ -31,25 +31,25 @@
 
 /// The result of a load during which the owner was slower for ten seconds.
 struct LoadResult {
-    world: SimulatedFleet,
+    fleet: SimulatedFleet,
     jobs: Vec<SubmittedJob>,
 }
 
 impl LoadResult {
     fn accepted(&self) -> Vec<u64> {
-        let accepted = |job: &&SubmittedJob| self.world.is_refused(job.request) == Some(false);
+        let accepted = |job: &&SubmittedJob| self.fleet.is_refused(job.request) == Some(false);
         self.jobs.iter().filter(accepted).map(|job| job.id).collect()
     }
 
     /// Returns the number of runs that lost their lease.
     fn expired_runs(&self) -> u32 {
-        self.world.workers.values().map(|worker| worker.expired_runs).sum()
+        self.fleet.workers.values().map(|worker| worker.expired_runs).sum()
     }
 
     /// Returns the number of callers who had no answer within the time that boxes wait.
     fn in_doubt(&self) -> usize {
         let in_time = |job: &SubmittedJob| {
-            let answered = self.world.answered_at(job.request);
+            let answered = self.fleet.answered_at(job.request);
             answered.is_some_and(|answered| answered.since(job.at) <= BOX_TIMEOUT)
         };
         self.jobs.iter().filter(|job| !in_time(job)).count()
@@ -58,11 +58,11 @@
     /// Panics if an accepted job is not completed, or a task ran to its end more than once.
     fn check_each_task_done_once(&self) {
         let mut done = BTreeMap::new();
-        for name in self.world.workers.values().flat_map(|worker| &worker.completed) {
+        for name in self.fleet.workers.values().flat_map(|worker| &worker.completed) {
             *done.entry(*name).or_insert(0) += 1;
         }
         for id in self.accepted() {
-            assert_eq!(self.world.state(id), Some(JobState::Completed), "job {id}");
+            assert_eq!(self.fleet.state(id), Some(JobState::Completed), "job {id}");
             for index in 0..TASKS_PER_JOB {
                 assert_eq!(done.get(&task(id, 0, index)), Some(&1), "job {id}, task {index}");
             }
@@ -72,25 +72,25 @@
 
 /// Runs a load with the owner slower by `factor` for ten seconds, until all work is done.
 fn run_overloaded(factor: u32, measures_lag: bool) -> LoadResult {
-    let mut world = SimulatedFleet::new(WORKERS);
-    let mut processor = Processor::new(EVENT_COST, world.now);
+    let mut fleet = SimulatedFleet::new(WORKERS);
+    let mut processor = Processor::new(EVENT_COST, fleet.now);
     processor.reports_lag = measures_lag;
-    world.processor = Some(processor);
+    fleet.processor = Some(processor);
     let mut jobs = Vec::new();
     for at_ms in (0..25_000).step_by(SUBMIT_INTERVAL_MS as usize) {
-        if let Some(processor) = &mut world.processor {
+        if let Some(processor) = &mut fleet.processor {
             let is_slow = (5_000..15_000).contains(&at_ms);
             processor.event_cost = EVENT_COST * if is_slow { factor } else { 1 };
         }
         let id = 1 + at_ms / SUBMIT_INTERVAL_MS;
-        let at = world.now;
+        let at = fleet.now;
         let spec = job(vec![StepSpec { keeps_progress: true, ..step(TASKS_PER_JOB) }]);
-        let request = world.submit(id, spec);
+        let request = fleet.submit(id, spec);
         jobs.push(SubmittedJob { id, request, at });
-        world.advance_ms(SUBMIT_INTERVAL_MS);
+        fleet.advance_ms(SUBMIT_INTERVAL_MS);
     }
-    world.advance_ms(15_000);
-    LoadResult { world, jobs }
+    fleet.advance_ms(15_000);
+    LoadResult { fleet, jobs }
 }
 
 #[test]
@@ -99,7 +99,7 @@
         let result = run_overloaded(factor, true);
         result.check_each_task_done_once();
         assert_eq!(result.expired_runs(), 0, "factor {factor}: leases are renewed in time");
-        let lag = result.world.scheduler.lag();
+        let lag = result.fleet.scheduler.lag();
         assert!(lag < Duration::from_millis(100), "factor {factor}: lag of {lag:?} at the end");
     }
 }
@@ -125,19 +125,19 @@
 #[test]
 fn callers_are_answered_before_boxes_time_out_while_the_store_is_slow() {
     for takes_ms in [100, 300, 500, 600, 650] {
-        let mut world = SimulatedFleet::new(WORKERS);
-        world.store_latency = Duration::from_millis(takes_ms);
+        let mut fleet = SimulatedFleet::new(WORKERS);
+        fleet.store_latency = Duration::from_millis(takes_ms);
         let mut requests = Vec::new();
         for id in 1..=200 {
-            requests.push((world.submit(id, job(vec![step(2)])), world.now));
-            world.advance_ms(50);
+            requests.push((fleet.submit(id, job(vec![step(2)])), fleet.now));
+            fleet.advance_ms(50);
         }
-        world.advance_ms(5_000);
+        fleet.advance_ms(5_000);
         let in_doubt = requests.iter().filter(|(request, at)| {
-            world.answered_at(*request).is_none_or(|answered| answered.since(*at) > BOX_TIMEOUT)
+            fleet.answered_at(*request).is_none_or(|answered| answered.since(*at) > BOX_TIMEOUT)
         });
         let accepted =
-            requests.iter().filter(|(request, _)| world.is_refused(*request) == Some(false));
+            requests.iter().filter(|(request, _)| fleet.is_refused(*request) == Some(false));
         let (in_doubt, accepted) = (in_doubt.count(), accepted.count());
         // The time of the first batch is unknown in advance, which affects the callers of its first
         // 0.4 s.
@@ -151,44 +151,44 @@
 /// batch follows that could show that the store has recovered.
 #[test]
 fn idle_owner_accepts_jobs_again_after_a_slow_batch() {
-    let mut world = SimulatedFleet::new(4);
-    world.store_latency = Duration::from_millis(2_000);
-    world.submit(1, job(vec![step(1)]));
-    world.advance_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
-    world.store_latency = Duration::from_millis(10);
-    world.advance_ms(3_000);
-    let request = world.submit(2, job(vec![step(1)]));
-    world.advance_ms(1_000);
-    assert_eq!(world.is_refused(request), Some(false));
+    let mut fleet = SimulatedFleet::new(4);
+    fleet.store_latency = Duration::from_millis(2_000);
+    fleet.submit(1, job(vec![step(1)]));
+    fleet.advance_until("the job completes", |fleet| fleet.state(1) == Some(JobState::Completed));
+    fleet.store_latency = Duration::from_millis(10);
+    fleet.advance_ms(3_000);
+    let request = fleet.submit(2, job(vec![step(1)]));
+    fleet.advance_ms(1_000);
+    assert_eq!(fleet.is_refused(request), Some(false));
 }
 
 #[test]
 fn long_running_tasks_restart_before_short_tasks_after_a_takeover() {
-    let mut world = SimulatedFleet::new(4);
-    world.submit(1, job(vec![StepSpec { long_running: true, ..step(12) }]));
-    world.advance_until("the watcher runs", |world| {
-        (0..12).all(|index| !world.workers_running(task(1, 0, index)).is_empty())
+    let mut fleet = SimulatedFleet::new(4);
+    fleet.submit(1, job(vec![StepSpec { long_running: true, ..step(12) }]));
+    fleet.advance_until("the watcher runs", |fleet| {
+        (0..12).all(|index| !fleet.workers_running(task(1, 0, index)).is_empty())
     });
     // All leases expire, and the waiting short tasks could take all room.
-    world.submit(2, job(vec![step(4)]));
-    world.submit(3, job(vec![step(40)]));
-    world.advance_ms(50);
-    world.workers.values_mut().for_each(|worker| worker.running.clear());
-    world.take_over(2, true);
-    world.advance_ms(500);
+    fleet.submit(2, job(vec![step(4)]));
+    fleet.submit(3, job(vec![step(40)]));
+    fleet.advance_ms(50);
+    fleet.workers.values_mut().for_each(|worker| worker.running.clear());
+    fleet.take_over(2, true);
+    fleet.advance_ms(500);
     let running =
-        (0..12).filter(|&index| !world.workers_running(task(1, 0, index)).is_empty()).count();
+        (0..12).filter(|&index| !fleet.workers_running(task(1, 0, index)).is_empty()).count();
     assert_eq!(running, 12);
 }
 
-/// Returns a world with a long-running serving task whose tail latency is above its target as soon as a best-effort
+/// Returns a fleet with a long-running serving task whose tail latency is above its target as soon as a best-effort
 /// task runs beside it.
-fn world_with_watcher() -> SimulatedFleet {
-    let mut world = SimulatedFleet::new(1);
-    world.task_duration_ms = Some(60_000);
-    world.tail_ms = |worker| if worker.running.len() > 1 { 90 } else { 12 };
-    world.submit(1, job(vec![serving_step()]));
-    world
+fn fleet_with_long_running_task() -> SimulatedFleet {
+    let mut fleet = SimulatedFleet::new(1);
+    fleet.task_duration_ms = Some(60_000);
+    fleet.tail_ms = |worker| if worker.running.len() > 1 { 90 } else { 12 };
+    fleet.submit(1, job(vec![serving_step()]));
+    fleet
 }
 
 fn serving_step() -> StepSpec {
@@ -204,17 +204,17 @@
     StepSpec { best_effort: true, image: Some("f".to_owned()), ..step(1) }
 }
 
-/// Runs the world for `ms` with an owner that lags all the time.
-fn run_with_lag_ms(world: &mut SimulatedFleet, lag: Duration, ms: u64) {
+/// Runs the fleet for `ms` with an owner that lags all the time.
+fn run_with_lag_ms(fleet: &mut SimulatedFleet, lag: Duration, ms: u64) {
     for _ in 0..ms / 10 {
-        world.send_event(Event::OwnerLagged(lag));
-        world.advance_ms(10);
+        fleet.send_event(Event::OwnerLagged(lag));
+        fleet.advance_ms(10);
     }
 }
 
 /// Returns whether the best-effort task beside the serving task is halted.
-fn is_halted(world: &SimulatedFleet) -> bool {
-    world.workers["w0"].running[&task(2, 0, 0)].percent == 0
+fn is_halted(fleet: &SimulatedFleet) -> bool {
+    fleet.workers["w0"].running[&task(2, 0, 0)].percent == 0
 }
 
 #[test]
@@ -224,72 +224,72 @@
     let deadline = Duration::from_millis(3_500);
     let lag = Duration::from_millis(220);
     for after_ms in (1_000..2_500).step_by(100) {
-        let mut world = world_with_watcher();
-        run_with_lag_ms(&mut world, lag, after_ms);
-        world.submit(2, job(vec![best_effort_step()]));
-        world.advance_until("the batch task runs", |world| world.starts.len() > 1);
-        run_with_lag_ms(&mut world, lag, deadline.as_millis() as u64);
-        assert!(is_halted(&world), "started after {after_ms} ms, not halted {deadline:?} later");
+        let mut fleet = fleet_with_long_running_task();
+        run_with_lag_ms(&mut fleet, lag, after_ms);
+        fleet.submit(2, job(vec![best_effort_step()]));
+        fleet.advance_until("the batch task runs", |fleet| fleet.starts.len() > 1);
+        run_with_lag_ms(&mut fleet, lag, deadline.as_millis() as u64);
+        assert!(is_halted(&fleet), "started after {after_ms} ms, not halted {deadline:?} later");
     }
 }
 
 #[test]
 fn halt_is_sent_before_waiting_starts() {
-    let mut world = world_with_watcher();
-    world.advance_ms(1_000);
-    world.submit(2, job(vec![best_effort_step()]));
-    world.advance_ms(1_500);
-    assert!(!is_halted(&world), "halted before its tail was above its target for long enough");
-    let mut slow_processor = Processor::new(Duration::from_millis(50), world.now);
+    let mut fleet = fleet_with_long_running_task();
+    fleet.advance_ms(1_000);
+    fleet.submit(2, job(vec![best_effort_step()]));
+    fleet.advance_ms(1_500);
+    assert!(!is_halted(&fleet), "halted before its tail was above its target for long enough");
+    let mut slow_processor = Processor::new(Duration::from_millis(50), fleet.now);
     slow_processor.reports_lag = false;
-    world.processor = Some(slow_processor);
+    fleet.processor = Some(slow_processor);
     let size = Resources::new(100, 100, 0);
-    world.submit(3, job(vec![StepSpec { size, ..step(24) }]));
-    world.advance_until("the best-effort task is halted", is_halted);
-    let started = world.starts.iter().filter(|(_, task, ..)| task.job.0 == 3).count();
+    fleet.submit(3, job(vec![StepSpec { size, ..step(24) }]));
+    fleet.advance_until("the best-effort task is halted", is_halted);
+    let started = fleet.starts.iter().filter(|(_, task, ..)| task.job.0 == 3).count();
     // If the halt were not sent before waiting starts, all 24 would go first.
     assert!(started <= 16, "{started} of 24 starts were sent first");
 }
 
-/// Runs the world for six seconds in which the answers of all busy workers arrive, but the owner
+/// Runs the fleet for six seconds in which the answers of all busy workers arrive, but the owner
 /// reads none of them.
-fn leave_answers_unread(world: &mut SimulatedFleet, lag: Duration) {
-    let busy = world.workers.values_mut().filter(|worker| !worker.running.is_empty());
+fn leave_answers_unread(fleet: &mut SimulatedFleet, lag: Duration) {
+    let busy = fleet.workers.values_mut().filter(|worker| !worker.running.is_empty());
     busy.for_each(|worker| worker.behaviour = Behaviour::AnswersPollsLate);
     for _ in 0..600 {
-        world.send_event(Event::OwnerLagged(lag));
-        world.advance_ms(10);
-        world.workers.values_mut().for_each(|worker| worker.late_answer = None);
+        fleet.send_event(Event::OwnerLagged(lag));
+        fleet.advance_ms(10);
+        fleet.workers.values_mut().for_each(|worker| worker.late_answer = None);
     }
-    world.set_behaviours(Behaviour::Healthy);
+    fleet.set_behaviours(Behaviour::Healthy);
 }
 
 #[test]
 fn runs_that_ended_in_unread_answers_do_not_run_again() {
-    let mut world = SimulatedFleet::new(12);
-    world.submit(1, job(vec![step(8)]));
-    world.advance_ms(300);
-    assert_eq!(world.starts.len(), 8);
-    leave_answers_unread(&mut world, Duration::from_millis(200));
+    let mut fleet = SimulatedFleet::new(12);
+    fleet.submit(1, job(vec![step(8)]));
+    fleet.advance_ms(300);
+    assert_eq!(fleet.starts.len(), 8);
+    leave_answers_unread(&mut fleet, Duration::from_millis(200));
     assert_eq!(
-        world.starts.len(),
+        fleet.starts.len(),
         8,
         "a task was restarted though its run may have ended before the lease lapsed"
     );
-    world.advance_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
-    assert_eq!(world.starts.len(), 8);
+    fleet.advance_until("the job completes", |fleet| fleet.state(1) == Some(JobState::Completed));
+    assert_eq!(fleet.starts.len(), 8);
 }
 
 #[test]
 fn punctual_owner_restarts_tasks_of_silent_workers() {
-    let mut world = SimulatedFleet::new(4);
-    world.submit(1, job(vec![StepSpec { long_running: true, ..step(2) }]));
-    world.advance_ms(300);
-    let id = world.worker_of(task(1, 0, 0));
-    world.worker(&id).behaviour = Behaviour::Partitioned;
-    world.advance_ms(6_000);
+    let mut fleet = SimulatedFleet::new(4);
+    fleet.submit(1, job(vec![StepSpec { long_running: true, ..step(2) }]));
+    fleet.advance_ms(300);
+    let id = fleet.worker_of(task(1, 0, 0));
+    fleet.worker(&id).behaviour = Behaviour::Partitioned;
+    fleet.advance_ms(6_000);
     let runs_on_another_worker =
-        world.workers_running(task(1, 0, 0)).into_iter().any(|other| other != id);
+        fleet.workers_running(task(1, 0, 0)).into_iter().any(|other| other != id);
     assert!(
         runs_on_another_worker,
         "a task of a silent worker was not restarted after its lease expired"
--- a/crates/kitetrail-core/tests/jobs_sharing.rs
+++ b/crates/kitetrail-core/tests/jobs_sharing.rs
@@ -12,91 +12,91 @@
 
 #[test]
 fn best_effort_task_is_halted_while_a_tail_stays_above_its_target() {
-    let mut world = SimulatedFleet::new(1);
-    world.task_duration_ms = Some(60_000);
+    let mut fleet = SimulatedFleet::new(1);
+    fleet.task_duration_ms = Some(60_000);
     // The tail stays above its target however slow the best-effort task is, which no model
     // predicts.
-    world.tail_ms = |worker| if worker.running.len() > 1 { 90 } else { 12 };
+    fleet.tail_ms = |worker| if worker.running.len() > 1 { 90 } else { 12 };
     let serving_step = StepSpec {
         long_running: true,
         tail_target_ms: Some(50),
         image: Some("s".to_owned()),
         ..step(1)
     };
-    world.submit(1, job(vec![serving_step]));
-    world.advance_ms(1_000);
+    fleet.submit(1, job(vec![serving_step]));
+    fleet.advance_ms(1_000);
     let best_effort_step = StepSpec { best_effort: true, image: Some("f".to_owned()), ..step(1) };
-    world.submit(2, job(vec![best_effort_step]));
-    world.advance_ms(3_500);
-    let paced = world.workers["w0"].running[&task(2, 0, 0)].percent;
+    fleet.submit(2, job(vec![best_effort_step]));
+    fleet.advance_ms(3_500);
+    let paced = fleet.workers["w0"].running[&task(2, 0, 0)].percent;
     assert_eq!(paced, 0, "not halted after 3.5 s, but at {paced} %");
 }
 
 #[test]
 fn best_effort_task_waits_rather_than_harm_serving_tasks_until_it_is_hopeless() {
-    let mut world = SimulatedFleet::new(1);
+    let mut fleet = SimulatedFleet::new(1);
     // Three tasks have a tail latency of 23 ms with a target of 50 ms: one may be disturbed a
     // little, but not all three together.
-    world.tail_ms = |_| 23;
+    fleet.tail_ms = |_| 23;
     let image = |name: &str| Some(name.to_owned());
     let serving_step =
         StepSpec { long_running: true, tail_target_ms: Some(50), image: image("s"), ..step(3) };
-    world.submit(1, job(vec![serving_step]));
-    world.advance_ms(3_000);
+    fleet.submit(1, job(vec![serving_step]));
+    fleet.advance_ms(3_000);
     let size = Resources::new(1_800, 512, 0);
-    world.submit(2, job(vec![StepSpec { best_effort: true, image: image("f"), size, ..step(1) }]));
-    world.advance_ms(4_000);
-    assert_eq!(world.starts.len(), 3, "it waits for a better worker while it can be in time");
-    world.advance_until("the hopeless job completes", |world| {
-        world.state(2) == Some(JobState::Completed)
+    fleet.submit(2, job(vec![StepSpec { best_effort: true, image: image("f"), size, ..step(1) }]));
+    fleet.advance_ms(4_000);
+    assert_eq!(fleet.starts.len(), 3, "it waits for a better worker while it can be in time");
+    fleet.advance_until("the hopeless job completes", |fleet| {
+        fleet.state(2) == Some(JobState::Completed)
     });
 }
 
 #[test]
 fn best_effort_task_waits_for_processors_used_by_batch_tasks() {
-    let mut world = SimulatedFleet::new(1);
-    world.task_duration_ms = Some(3_000);
+    let mut fleet = SimulatedFleet::new(1);
+    fleet.task_duration_ms = Some(3_000);
     let size = Resources::new(2_000, 512, 0);
     let serving_step = StepSpec { long_running: true, tail_target_ms: Some(50), size, ..step(1) };
-    world.submit(1, job(vec![serving_step]));
-    world.submit(2, job(vec![StepSpec { size, ..step(1) }]));
-    world.advance_ms(500);
+    fleet.submit(1, job(vec![serving_step]));
+    fleet.submit(2, job(vec![StepSpec { size, ..step(1) }]));
+    fleet.advance_ms(500);
     let small = Resources::new(1_000, 512, 0);
-    world.submit(3, job(vec![StepSpec { best_effort: true, size, ..step(1) }]));
-    world.submit(4, job(vec![StepSpec { best_effort: true, size: small, ..step(1) }]));
-    world.advance_ms(1_000);
-    let has_started = |id| world.starts.iter().any(|(_, task, ..)| task.job.0 == id);
+    fleet.submit(3, job(vec![StepSpec { best_effort: true, size, ..step(1) }]));
+    fleet.submit(4, job(vec![StepSpec { best_effort: true, size: small, ..step(1) }]));
+    fleet.advance_ms(1_000);
+    let has_started = |id| fleet.starts.iter().any(|(_, task, ..)| task.job.0 == id);
     assert!(
         !has_started(3) && has_started(4),
         "the service uses half of its two cores, the batch task both"
     );
-    world.advance_ms(3_000);
-    assert!(world.starts.iter().any(|(_, task, ..)| task.job.0 == 3));
+    fleet.advance_ms(3_000);
+    assert!(fleet.starts.iter().any(|(_, task, ..)| task.job.0 == 3));
 }
 
 #[test]
 fn long_running_task_leaves_room_for_continuing_short_tasks() {
-    let mut world = SimulatedFleet::new(2);
-    world.long_running_ms = 600_000;
+    let mut fleet = SimulatedFleet::new(2);
+    fleet.long_running_ms = 600_000;
     let long_running =
         |cores| StepSpec { long_running: true, size: Resources::new(cores, 512, 0), ..step(1) };
-    world.submit(1, job(vec![long_running(3_000)]));
-    world.submit(2, job(vec![long_running(3_000)]));
-    world.advance_ms(500);
+    fleet.submit(1, job(vec![long_running(3_000)]));
+    fleet.submit(2, job(vec![long_running(3_000)]));
+    fleet.advance_ms(500);
     // Two short tasks of a second each run at a time, on the two cores that are left.
     for id in 100..120 {
-        world.submit(id, job(vec![step(1)]));
-        world.advance_ms(500);
+        fleet.submit(id, job(vec![step(1)]));
+        fleet.advance_ms(500);
     }
-    world.submit(3, job(vec![long_running(1_000)]));
+    fleet.submit(3, job(vec![long_running(1_000)]));
     for id in 120..130 {
-        world.submit(id, job(vec![step(1)]));
-        world.advance_ms(500);
+        fleet.submit(id, job(vec![step(1)]));
+        fleet.advance_ms(500);
     }
     let has_started =
-        |world: &SimulatedFleet| world.starts.iter().any(|(_, task, ..)| task.job.0 == 3);
-    assert!(!has_started(&world), "the long-running task took the room of short tasks");
-    world.advance_until("short tasks have ended and the long-running task runs", has_started);
+        |fleet: &SimulatedFleet| fleet.starts.iter().any(|(_, task, ..)| task.job.0 == 3);
+    assert!(!has_started(&fleet), "the long-running task took the room of short tasks");
+    fleet.advance_until("short tasks have ended and the long-running task runs", has_started);
 }
 
 /// Returns the tail latency of a service: on the worker that runs job 1, each task of the jobs from
@@ -126,9 +126,9 @@
 /// Runs best-effort tasks until the scheduler has learned which of two services they slow, and
 /// returns the persisted effect.
 fn learn_sensitive_service(tail_ms: fn(&FakeWorker) -> u32) -> f64 {
-    let mut world = SimulatedFleet::new(2);
-    world.task_duration_ms = Some(2_000);
-    world.tail_ms = tail_ms;
+    let mut fleet = SimulatedFleet::new(2);
+    fleet.task_duration_ms = Some(2_000);
+    fleet.tail_ms = tail_ms;
     let serving_step = |image: &str| StepSpec {
         long_running: true,
         size: Resources::new(3_000, 512, 0),
@@ -136,11 +136,11 @@
         image: Some(image.to_owned()),
         ..step(1)
     };
-    world.submit(1, job(vec![serving_step("sensitive")]));
-    world.submit(2, job(vec![serving_step("tolerant")]));
-    world.advance_ms(1_000);
-    let tolerant_worker = world.worker_of(task(2, 0, 0));
-    assert_ne!(world.workers_running(task(1, 0, 0)), [tolerant_worker.as_str()]);
+    fleet.submit(1, job(vec![serving_step("sensitive")]));
+    fleet.submit(2, job(vec![serving_step("tolerant")]));
+    fleet.advance_ms(1_000);
+    let tolerant_worker = fleet.worker_of(task(2, 0, 0));
+    assert_ne!(fleet.workers_running(task(1, 0, 0)), [tolerant_worker.as_str()]);
     let best_effort_step = StepSpec {
         best_effort: true,
         image: Some("disturbing".to_owned()),
@@ -148,13 +148,13 @@
         ..step(1)
     };
     for id in 100..130 {
-        world.submit(id, job(vec![best_effort_step.clone()]));
-        world.advance_ms(1_500);
+        fleet.submit(id, job(vec![best_effort_step.clone()]));
+        fleet.advance_ms(1_500);
     }
     let serving_effects =
-        world.effects.serving.iter().find(|serving| serving.image == "sensitive").unwrap();
+        fleet.effects.serving.iter().find(|serving| serving.image == "sensitive").unwrap();
     let effect = serving_effects.effects.iter().find(|(image, _)| image == "disturbing").unwrap().1;
-    let last = world.starts.iter().filter(|(_, task, ..)| task.job.0 >= 115);
+    let last = fleet.starts.iter().filter(|(_, task, ..)| task.job.0 >= 115);
     let (mut on_tolerant_worker, mut all) = (0, 0);
     for (.., worker) in last {
         all += 1;
@@ -169,34 +169,34 @@
 
 #[test]
 fn long_running_task_is_not_held_back_for_long_if_there_is_room_for_two() {
-    let mut world = SimulatedFleet::new(1);
+    let mut fleet = SimulatedFleet::new(1);
     // Four short tasks run at a time, then two, so half of the cores are free.
     for id in 100..140 {
-        world.submit(id, job(vec![step(1)]));
-        world.advance_ms(250);
+        fleet.submit(id, job(vec![step(1)]));
+        fleet.advance_ms(250);
     }
     for id in 140..143 {
-        world.submit(id, job(vec![step(1)]));
-        world.advance_ms(500);
+        fleet.submit(id, job(vec![step(1)]));
+        fleet.advance_ms(500);
     }
-    world.submit(1, job(vec![StepSpec { long_running: true, ..step(1) }]));
+    fleet.submit(1, job(vec![StepSpec { long_running: true, ..step(1) }]));
     let has_started =
-        |world: &SimulatedFleet| world.starts.iter().any(|(_, task, ..)| task.job.0 == 1);
+        |fleet: &SimulatedFleet| fleet.starts.iter().any(|(_, task, ..)| task.job.0 == 1);
     for id in 143..146 {
-        world.submit(id, job(vec![step(1)]));
-        world.advance_ms(500);
+        fleet.submit(id, job(vec![step(1)]));
+        fleet.advance_ms(500);
     }
-    assert!(!has_started(&world), "the room was needed by short tasks a moment ago");
+    assert!(!has_started(&fleet), "the room was needed by short tasks a moment ago");
     for id in 146..148 {
-        world.submit(id, job(vec![step(1)]));
-        world.advance_ms(500);
+        fleet.submit(id, job(vec![step(1)]));
+        fleet.advance_ms(500);
     }
-    assert!(has_started(&world), "not started after 2.5 s beside two free cores");
+    assert!(has_started(&fleet), "not started after 2.5 s beside two free cores");
 }
 
 #[test]
 fn short_tasks_leave_room_for_tasks_that_take_a_whole_worker() {
-    let mut world = SimulatedFleet::new(8);
+    let mut fleet = SimulatedFleet::new(8);
     let size = |cpu_millis| Resources::new(cpu_millis, 256, 0);
     // A third of the fleet is busy with tasks that take a third of a worker. Every two seconds a
     // job of two tasks arrives, each of which takes a whole worker for 0.8 s. Its caller wants it
@@ -204,18 +204,18 @@
     let mut large_jobs = Vec::new();
     for tick in 0..200 {
         let spec = StepSpec { size: size(1_300), estimate_ms: 800, ..step(1) };
-        world.submit(1_000 + tick, job(vec![spec]));
+        fleet.submit(1_000 + tick, job(vec![spec]));
         if tick % 20 == 10 {
             let spec = StepSpec { size: size(4_000), estimate_ms: 800, ..step(2) };
-            world.submit(tick, job(vec![spec]));
-            large_jobs.push((tick, world.now));
+            fleet.submit(tick, job(vec![spec]));
+            large_jobs.push((tick, fleet.now));
         }
-        world.advance_ms(100);
+        fleet.advance_ms(100);
     }
-    world.advance_ms(5_000);
+    fleet.advance_ms(5_000);
     let wait_ms = |&(id, at): &(u64, Time)| {
         let of_job = |start: &&(Time, TaskName, u32, String)| start.1.job.0 == id;
-        let last = world.starts.iter().filter(of_job).map(|start| start.0).max();
+        let last = fleet.starts.iter().filter(of_job).map(|start| start.0).max();
         last.map_or(u64::MAX, |last| last.since(at).as_millis() as u64)
     };
     let waits_ms = large_jobs.iter().map(wait_ms).collect::<Vec<_>>();
