--- a/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
@@ -186,7 +186,7 @@
         self.raise_shared_token(instance_no);
         // An order or poll with a lease time of the old clock may have reached the new instance.
         // Such a lease lasts at most as long as the longest lease that workers grant.
-        let leased_until = self.now + self.longest_lease_expiry_delay();
+        let leased_until = self.now + self.max_lease_expiry_delay();
         if let Some(instance) = self.instances.get_mut(instance_no) {
             instance.leases_expire_by = instance.leases_expire_by.max(leased_until);
         }
--- a/crates/kitetrail-core/src/jobs/scheduler/lateness.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/lateness.rs
@@ -9,7 +9,7 @@
 
 /// The highest penalty ([`Headroom::added_penalty`](super::headroom::Headroom::added_penalty)) that a
 /// best-effort task may add to serving tasks on the worker where it starts; above it the task waits
-/// for a better worker. Batch work has some slack, a service has none.
+/// for a better worker. Best-effort tasks can wait, serving tasks cannot.
 const MAX_ADDED_PENALTY: f64 = 0.8;
 /// The same for a task of a hopeless job, which must not wait forever where services are always
 /// busy. Serving tasks are still kept at their target by slowing the best-effort task.
--- a/crates/kitetrail-core/src/jobs/scheduler/mod.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/mod.rs
@@ -307,7 +307,7 @@
     }
 
     /// Returns the same delay for the longest lease that workers grant.
-    fn longest_lease_expiry_delay(&self) -> Duration {
+    fn max_lease_expiry_delay(&self) -> Duration {
         let longest = self.settings.max_lease;
         longest + longest * MAX_CLOCK_SLOWDOWN_PERCENT / 100 + LEASE_EXPIRY_MARGIN
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/pending.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/pending.rs
@@ -83,7 +83,7 @@
     pub(super) starts: Vec<DeferredStart>,
 }
 
-/// The records taken for one batch.
+/// The records of one batch.
 #[derive(Debug)]
 pub(super) struct BatchRecords {
     pub(super) new_jobs: Vec<JobId>,
--- a/crates/kitetrail-core/src/jobs/scheduler/unlisted.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/unlisted.rs
@@ -78,11 +78,11 @@
     fn classify_removal(&self, silent_for: Option<Duration>) -> Listing {
         let now = self.now;
         let outage_until = self.store_outage_until;
-        let lapses_after = self.settings.worker_heartbeat * EXPIRE_AFTER_HEARTBEATS;
-        let lapsed = silent_for.filter(|&silent_for| silent_for >= lapses_after);
+        let expires_after = self.settings.worker_heartbeat * EXPIRE_AFTER_HEARTBEATS;
+        let expired_after = silent_for.filter(|&silent_for| silent_for >= expires_after);
         let store_was_up =
             |silent_for| outage_until.is_none_or(|until| now.since(until) > silent_for);
-        match lapsed {
+        match expired_after {
             Some(silent_for) if store_was_up(silent_for) => Listing::Expired,
             _ => {
                 let returns_by = outage_until.map(|until| until + RELIST_GRACE_PERIOD);
--- a/crates/kitetrail-core/tests/fleet/listing.rs
+++ b/crates/kitetrail-core/tests/fleet/listing.rs
@@ -1,4 +1,4 @@
-//! Sends changes in the list of workers, and trouble of the store, to the scheduler.
+//! Reports changes in the list of workers, and outages of the store, to the scheduler.
 
 use std::time::Duration;
 
@@ -76,7 +76,7 @@
         self.report_listed(entry);
     }
 
-    /// Reports to the scheduler that the store is in trouble, or was until now.
+    /// Reports to the scheduler that the store is unavailable, or was until now.
     pub fn report_store_outage(&mut self) {
         self.send_event(Event::StoreUnavailable { until: self.now });
     }
--- a/crates/kitetrail-core/tests/fleet/mod.rs
+++ b/crates/kitetrail-core/tests/fleet/mod.rs
@@ -84,7 +84,7 @@
     pub task_duration_ms: Option<u64>,
     /// The time after which a long-running task ends on its own, in milliseconds.
     pub long_running_ms: u64,
-    /// The tail latency that a serving task reports, in milliseconds, depending on the tasks that fill its worker.
+    /// The tail latency that a serving task reports, in milliseconds, depending on the best-effort tasks on its worker.
     pub tail_ms: fn(&FakeWorker) -> u32,
     pub deposed: bool,
     /// The workers that the owner can't reach.
--- a/crates/kitetrail-core/tests/fleet/worker.rs
+++ b/crates/kitetrail-core/tests/fleet/worker.rs
@@ -24,7 +24,7 @@
 const STARTUP_MS: u64 = 300;
 /// The time after which a member of a gang ends if the other members are missing.
 const GANG_TIMEOUT_MS: u64 = 3_000;
-/// The time after which a smaller capacity must be respected: the platform's contact time plus a heartbeat.
+/// The time after which a smaller capacity must be respected: the platform's recovery time plus a heartbeat.
 const SHRINK_GRACE: Duration = Duration::from_millis(4_100);
 /// The amount of work after which a failing run ends.
 const FAILS_AFTER_MS: u64 = 100;
--- a/crates/kitetrail-core/tests/jobs_overload.rs
+++ b/crates/kitetrail-core/tests/jobs_overload.rs
@@ -166,7 +166,7 @@
 fn long_running_tasks_restart_before_short_tasks_after_a_takeover() {
     let mut fleet = SimulatedFleet::new(4);
     fleet.submit(1, job(vec![StepSpec { long_running: true, ..step(12) }]));
-    fleet.advance_until("the watcher runs", |fleet| {
+    fleet.advance_until("the long-running task runs", |fleet| {
         (0..12).all(|index| !fleet.workers_running(task(1, 0, index)).is_empty())
     });
     // All leases expire, and the waiting short tasks could take all room.
@@ -227,7 +227,7 @@
         let mut fleet = fleet_with_long_running_task();
         run_with_lag_ms(&mut fleet, lag, after_ms);
         fleet.submit(2, job(vec![best_effort_step()]));
-        fleet.advance_until("the batch task runs", |fleet| fleet.starts.len() > 1);
+        fleet.advance_until("the best-effort task runs", |fleet| fleet.starts.len() > 1);
         run_with_lag_ms(&mut fleet, lag, deadline.as_millis() as u64);
         assert!(is_halted(&fleet), "started after {after_ms} ms, not halted {deadline:?} later");
     }
@@ -274,7 +274,7 @@
     assert_eq!(
         fleet.starts.len(),
         8,
-        "a task was restarted though its run may have ended before the lease lapsed"
+        "a task was restarted though its run may have ended before the lease expired"
     );
     fleet.advance_until("the job completes", |fleet| fleet.state(1) == Some(JobState::Completed));
     assert_eq!(fleet.starts.len(), 8);
--- a/crates/kitetrail-core/tests/jobs_sharing.rs
+++ b/crates/kitetrail-core/tests/jobs_sharing.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn best_effort_task_waits_for_processors_used_by_batch_tasks() {
+fn best_effort_task_waits_for_processors_used_by_short_tasks() {
     let mut fleet = SimulatedFleet::new(1);
     fleet.task_duration_ms = Some(3_000);
     let size = Resources::new(2_000, 512, 0);
@@ -68,7 +68,7 @@
     let has_started = |id| fleet.starts.iter().any(|(_, task, ..)| task.job.0 == id);
     assert!(
         !has_started(3) && has_started(4),
-        "the service uses half of its two cores, the batch task both"
+        "the service uses half of its two cores, the short task both"
     );
     fleet.advance_ms(3_000);
     assert!(fleet.starts.iter().any(|(_, task, ..)| task.job.0 == 3));
--- a/crates/kitetraild/src/fleet/calls.rs
+++ b/crates/kitetraild/src/fleet/calls.rs
@@ -144,12 +144,12 @@
 async fn confirm_unknown<P: Platform>(shared: &Rc<Shared<P>>, job: JobId) -> Answer {
     match read_state_from_store(shared, job).await {
         Some(Answer::UnknownJob) => Answer::UnknownJob,
-        Some(kept) => {
+        Some(persisted) => {
             log::error!(
-                job = job.to_string(), epoch = shared.owner().epoch, state:? = kept;
+                job = job.to_string(), epoch = shared.owner().epoch, state:? = persisted;
                 "job: kept, and unknown to the owner"
             );
-            kept
+            persisted
         }
         None => Answer::InDoubt,
     }
--- a/crates/kitetraild/src/fleet/connection_limits.rs
+++ b/crates/kitetraild/src/fleet/connection_limits.rs
@@ -21,7 +21,7 @@
 
 /// Timeouts after which silent connections are considered dead.
 ///
-/// The figures in the comments apply to a promise of contact within 3 s.
+/// The figures in the comments apply to a promised recovery within 3 s.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionLimits {
     /// The timeout of a call to the store. A slow store takes 0.3 s.
@@ -55,7 +55,7 @@
 impl ConnectionLimits {
     /// Derives the limits from the promises.
     pub fn from_promises(promises: &ResponsePromises) -> Self {
-        // A watch must receive a change within the promised contact time, even after one call on a
+        // A watch must receive a change within the promised recovery time, even after one call on a
         // silent connection and another one on a new connection. A cancellation must be acknowledged
         // in time even after a ping and a call on a new connection.
         let recovery = promises.recovery;
--- a/crates/kitetraild/src/fleet/evacuation.rs
+++ b/crates/kitetraild/src/fleet/evacuation.rs
@@ -96,7 +96,7 @@
 /// The known zones may be outdated on a box that was partitioned or suspended.
 pub(super) async fn wait_until_known<P: Platform>(shared: &Rc<Shared<P>>) -> bool {
     // The calls that watch the operators' table follow each other immediately, so the last answered call
-    // began at most two waits ago, plus some slack for a slow link.
+    // began at most two waits ago, plus the margin for a slow link.
     let limits = shared.settings.limits;
     let fresh_for = limits.config_watch_wait.saturating_mul(2).saturating_add(limits.watch_margin);
     while !shared.evacuated.is_known_within(shared.clock.now(), fresh_for) {
--- a/crates/kitetraild/src/fleet/mod.rs
+++ b/crates/kitetraild/src/fleet/mod.rs
@@ -1,6 +1,6 @@
 //! Runs the jobs of a fleet: every box accepts calls, and one of them owns the fleet and schedules it.
 //!
-//! All durable state is in the platform's store. Boxes keep no durable state of their own.
+//! All persisted state is in the platform's store. Boxes persist nothing of their own.
 
 mod calls;
 mod committer;
--- a/crates/kitetraild/src/fleet/owner/mod.rs
+++ b/crates/kitetraild/src/fleet/owner/mod.rs
@@ -99,7 +99,7 @@
     last_tick_at: Time,
     /// The time at which counts were last published to other components of the box.
     last_published_at: Time,
-    /// The end of the store trouble as last passed to the scheduler.
+    /// The end of the store outage as last passed to the scheduler.
     sent_trouble_until: Option<Time>,
     /// The version of the configuration last passed to the scheduler.
     sent_config: Option<u64>,
@@ -194,7 +194,7 @@
             }
             OwnerMessage::Call(call, reply) => self.handle_call(call, reply),
             OwnerMessage::Event(event) => {
-                // Workers may be missing from the list because of store trouble.
+                // Workers may be missing from the list because of a store outage.
                 self.send_store_trouble();
                 if !self.handle(event) {
                     return ControlFlow::Break(OwnershipEnd::Deposed);
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Passes the end of the store trouble to the scheduler, if it changed.
+    /// Passes the end of the store outage to the scheduler, if it changed.
     fn send_store_trouble(&mut self) {
         let until = self.shared.store_trouble_until();
         if let Some(until) = until.filter(|_| until > self.sent_trouble_until) {
--- a/crates/kitetraild/src/fleet/settings.rs
+++ b/crates/kitetraild/src/fleet/settings.rs
@@ -32,7 +32,7 @@
     pub worker_heartbeat: Duration,
     /// The longest lease that workers grant.
     pub max_lease: Duration,
-    /// The time for which the state of an ended job is kept.
+    /// The time for which the state of an ended job remains available.
     pub ended_job_retention: Duration,
     /// The number of workers that the box can manage as the owner.
     pub strength: BoxStrength,
