--- a/crates/kitetrail-core/examples/owner_cost.rs
+++ b/crates/kitetrail-core/examples/owner_cost.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use fleet::{FakeWorker, World, job};
+use fleet::{FakeWorker, SimulatedFleet, job};
 use kitetrail_core::{
     Resources,
     jobs::{StepSpec, WorkerEntry},
@@ -44,9 +44,9 @@
         for workers in WORKERS {
             let mut load = Load::new(workers, build_factor);
             load.run(WARM_UP_MS);
-            let before = Counters::of(&load.world);
+            let before = Counters::of(&load.fleet);
             load.run(MEASURED_MS);
-            report(workers, &before, &Counters::of(&load.world));
+            report(workers, &before, &Counters::of(&load.fleet));
         }
     }
 }
@@ -55,23 +55,31 @@
 struct Counters {
     starts: usize,
     events: u64,
-    spent: Duration,
+    handling_time: Duration,
     allocations: u64,
     polls: u64,
     stale_answers: u64,
 }
 
 impl Counters {
-    fn of(world: &World) -> Self {
-        let &World { events, spent, allocations, polls, stale_answers, .. } = world;
-        Self { starts: world.starts.len(), events, spent, allocations, polls, stale_answers }
+    fn of(fleet: &SimulatedFleet) -> Self {
+        let &SimulatedFleet { events, handling_time, allocations, polls, stale_answers, .. } =
+            fleet;
+        Self {
+            starts: fleet.starts.len(),
+            events,
+            handling_time,
+            allocations,
+            polls,
+            stale_answers,
+        }
     }
 }
 
 fn report(workers: u32, before: &Counters, after: &Counters) {
     let starts = (after.starts - before.starts) as f64;
     let events = (after.events - before.events) as f64;
-    let spent_us = (after.spent - before.spent).as_secs_f64() * 1e6;
+    let spent_us = (after.handling_time - before.handling_time).as_secs_f64() * 1e6;
     println!(
         "workers {workers} us_per_start {:.1} us_per_event {:.2} allocations_per_start {:.1} \
          starts_per_s {:.0} holds_per_start {:.2} stale_per_start {:.2} cores {:.3}",
@@ -87,7 +95,7 @@
 
 /// A simulated fleet and the generator of its jobs.
 struct Load {
-    world: World,
+    fleet: SimulatedFleet,
     rng: ChaCha8Rng,
     workers: f64,
     build_factor: f64,
@@ -98,15 +106,15 @@
 
 impl Load {
     fn new(workers: u32, build_factor: f64) -> Self {
-        let mut world = World::with_workers((0..workers).map(worker));
-        world.tail_ms = |worker| {
+        let mut fleet = SimulatedFleet::with_workers((0..workers).map(worker));
+        fleet.tail_ms = |worker| {
             let best_effort = worker.running.values().filter(|run| !run.is_serving);
             let used =
                 best_effort.map(|run| run.cpu_millis * u32::from(run.percent) / 100).sum::<u32>();
             12 + 20 * used / worker.entry.capacity.cpu_millis.0
         };
         let mut load = Self {
-            world,
+            fleet,
             rng: ChaCha8Rng::seed_from_u64(1),
             workers: f64::from(workers),
             build_factor,
@@ -117,7 +125,7 @@
         for _ in 0..(load.workers * WATCHERS_PER_WORKER) as u32 {
             let spec = load.watcher();
             load.submit_job(vec![spec]);
-            load.world.run_ms(10);
+            load.fleet.advance_ms(10);
         }
         load
     }
@@ -138,13 +146,13 @@
                 let second = StepSpec { depends_on: vec![0], ..self.build() };
                 self.submit_job(vec![first, second]);
             }
-            self.world.run_ms(SUBMIT_INTERVAL_MS);
+            self.fleet.advance_ms(SUBMIT_INTERVAL_MS);
         }
     }
 
     fn submit_job(&mut self, steps: Vec<StepSpec>) {
         self.next_job += 1;
-        self.world.submit(self.next_job, job(steps));
+        self.fleet.submit(self.next_job, job(steps));
     }
 
     fn check(&mut self) -> StepSpec {
--- a/crates/kitetrail-core/tests/fleet/owners.rs
+++ b/crates/kitetrail-core/tests/fleet/owners.rs
@@ -4,26 +4,26 @@
 
 use kitetrail_core::{
     Time,
-    jobs::{Event, Inheritance, JobRecord, Record, Scheduler, SchedulerSettings},
+    jobs::{Event, InheritedState, JobRecord, Record, Scheduler, SchedulerSettings},
 };
 
-use super::{DAY_UNIX_MS, World};
+use super::{CLOCK_ZERO_UNIX_MS, SimulatedFleet};
 
 /// The time for which an owner may renew leases without the store.
 pub(super) const MAX_RENEWAL_WITHOUT_STORE: Duration = Duration::from_secs(12);
 
-impl World {
+impl SimulatedFleet {
     /// Replaces the scheduler with that of a new owner, as after the death of the previous one.
     pub fn take_over(&mut self, epoch: u64, earlier_owners_stopped: bool) {
         self.replace_scheduler(epoch, earlier_owners_stopped);
-        self.list_all();
+        self.report_all_listed();
     }
 
     /// Like [`Self::take_over`], with an event that the new scheduler handles before it knows any worker.
     pub fn take_over_with(&mut self, epoch: u64, earlier_owners_stopped: bool, first: Event) {
         self.replace_scheduler(epoch, earlier_owners_stopped);
-        self.tell(first);
-        self.list_all();
+        self.send_event(first);
+        self.report_all_listed();
     }
 
     /// Replaces the scheduler with that of a new owner, which knows no worker yet.
@@ -31,10 +31,10 @@
         self.batches.clear();
         self.order_answers.clear();
         for worker in self.workers.values_mut() {
-            worker.open_poll = None;
+            worker.current_poll = None;
             worker.earlier_polls.clear();
         }
-        let leases_renewed_for = match earlier_owners_stopped {
+        let earlier_renewal = match earlier_owners_stopped {
             true => Duration::ZERO,
             false => MAX_RENEWAL_WITHOUT_STORE,
         };
@@ -45,12 +45,12 @@
             .values()
             .filter(|progress| !self.jobs.contains_key(&progress.id))
             .cloned();
-        let inheritance = Inheritance {
+        let inheritance = InheritedState {
             jobs: self.jobs.values().map(job_with_progress).collect(),
-            ended: ended.collect(),
+            ended_progress: ended.collect(),
             instances: self.instances.values().cloned().collect(),
-            effects: self.effects.clone(),
-            leases_renewed_for,
+            interference: self.effects.clone(),
+            earlier_renewal,
         };
         self.scheduler = scheduler(epoch, inheritance, self.now);
     }
@@ -62,7 +62,7 @@
             for record in records {
                 self.apply_record(record);
             }
-            self.tell(Event::Committed(batch));
+            self.send_event(Event::Committed(batch));
         }
     }
 
@@ -85,11 +85,11 @@
 }
 
 /// Creates the scheduler of an owner.
-pub(super) fn scheduler(epoch: u64, inheritance: Inheritance, now: Time) -> Scheduler {
+pub(super) fn scheduler(epoch: u64, inheritance: InheritedState, now: Time) -> Scheduler {
     let settings = SchedulerSettings {
-        longest_lease: Duration::from_secs(6),
-        remember_ended: Duration::from_secs(120),
+        max_lease: Duration::from_secs(6),
+        ended_job_retention: Duration::from_secs(120),
         worker_heartbeat: Duration::from_millis(1_100),
     };
-    Scheduler::new(settings, epoch, inheritance, now, DAY_UNIX_MS + now.as_ms())
+    Scheduler::new(settings, epoch, inheritance, now, CLOCK_ZERO_UNIX_MS + now.as_ms())
 }
--- a/crates/kitetraild/src/fleet/mod.rs
+++ b/crates/kitetraild/src/fleet/mod.rs
@@ -1,6 +1,6 @@
 //! Runs the jobs of a fleet: every box accepts calls, and one of them owns the fleet and schedules it.
 //!
-//! All durable state is in the platform's store. Boxes keep no durable state of their own.
+//! All persisted state is in the platform's store. Boxes persist nothing of their own.
 
 mod calls;
 mod committer;
@@ -20,7 +20,7 @@
 mod scan;
 mod settings;
 mod shared;
-mod store_doubt;
+mod store_probe;
 mod takeover;
 mod workers_watch;
 
@@ -29,7 +29,7 @@
     fleet::{JobCodec, OperatorSource, RowStore, WorkerControl, WorkerList},
 };
 
-pub use connection_limits::{ConnectionLimits, Promises};
+pub use connection_limits::{ConnectionLimits, ResponsePromises};
 pub use run::run;
 pub use settings::{FleetSettings, Listen};
 
--- a/crates/kitetraild/src/fleet/settings.rs
+++ b/crates/kitetraild/src/fleet/settings.rs
@@ -31,13 +31,13 @@
     /// The interval at which workers renew their entries in the list.
     pub worker_heartbeat: Duration,
     /// The longest lease that workers grant.
-    pub longest_lease: Duration,
-    /// The time for which the state of an ended job is kept.
-    pub remember_ended: Duration,
+    pub max_lease: Duration,
+    /// The time for which the state of an ended job remains available.
+    pub ended_job_retention: Duration,
     /// The number of workers that the box can manage as the owner.
     pub strength: BoxStrength,
     /// The timeouts of connections.
     pub limits: ConnectionLimits,
     /// The time within which a box must stop after it was asked to.
-    pub stop_within: Duration,
+    pub stop_timeout: Duration,
 }
--- a/crates/kitetraild/src/fleet/takeover.rs
+++ b/crates/kitetraild/src/fleet/takeover.rs
@@ -9,7 +9,7 @@
 
 use kitetrail_core::{
     Time,
-    jobs::{EffectsRecord, Inheritance, Outcome, ProgressRecord, Scheduler, SchedulerSettings},
+    jobs::{EffectsRecord, InheritedState, Outcome, ProgressRecord, Scheduler, SchedulerSettings},
     succession::{BoxStrength, EarlierOwners},
 };
 use kitetrail_platform::{
@@ -23,7 +23,7 @@
     committer::{Batch, Committer, HEARTBEAT},
     evacuation,
     owner::{MAX_UNCONFIRMED, Owner, OwnerMessage, OwnershipEnd},
-    ownership::RETRY,
+    ownership::STORE_RETRY_DELAY,
     predecessor,
     rows::{self, HeadRow, OwnerRow},
     scan,
@@ -76,17 +76,17 @@
         Ok(None) => return,
         Err(error) => {
             log::warn!("owner: failed to take over the fleet: {error}");
-            return time::sleep(RETRY).await;
+            return time::sleep(STORE_RETRY_DELAY).await;
         }
     };
     let ended = run_owner(shared, &row, version, claim, started).await;
-    *shared.local_owner.borrow_mut() = None;
+    *shared.owner_inbox.borrow_mut() = None;
     log::info!(epoch = row.epoch, ended:? = ended; "owner: owns the fleet no more");
 }
 
 /// Reads the state that the previous owner left, retrying until it succeeds. Returns `None` if this
 /// box is stopping.
-async fn load_with_retries<P: Platform>(shared: &Rc<Shared<P>>) -> Option<Inheritance> {
+async fn load_with_retries<P: Platform>(shared: &Rc<Shared<P>>) -> Option<InheritedState> {
     loop {
         match load(shared).await {
             Ok(inheritance) => return Some(inheritance),
@@ -96,7 +96,7 @@
             }
             Err(error) => {
                 log::warn!("owner: failed to read the jobs: {error}");
-                time::sleep(RETRY).await;
+                time::sleep(STORE_RETRY_DELAY).await;
             }
         }
     }
@@ -126,10 +126,10 @@
     let mut committer = task::spawn_local(committer.run(to_write));
     let ended = match load_inheritance(shared).await {
         Some(mut inheritance) => {
-            inheritance.leases_renewed_for = earlier_owners.get().may_renew_for(shared.clock.now());
+            inheritance.earlier_renewal = earlier_owners.get().may_renew_for(shared.clock.now());
             log::info!(
-                epoch = row.epoch, jobs = inheritance.jobs.len(), ended = inheritance.ended.len(), lives = inheritance.instances.len(),
-                earlier_renew_for_ms = inheritance.leases_renewed_for.as_millis() as u64, after_ms = started.elapsed().as_millis() as u64;
+                epoch = row.epoch, jobs = inheritance.jobs.len(), ended = inheritance.ended_progress.len(), lives = inheritance.instances.len(),
+                earlier_renew_for_ms = inheritance.earlier_renewal.as_millis() as u64, after_ms = started.elapsed().as_millis() as u64;
                 "owner: owns the fleet"
             );
             let watch =
@@ -167,7 +167,7 @@
 
 /// Loads the state that the previous owner left and waits until the evacuated zones are known.
 /// Returns `None` if this box is stopping.
-async fn load_inheritance<P: Platform>(shared: &Rc<Shared<P>>) -> Option<Inheritance> {
+async fn load_inheritance<P: Platform>(shared: &Rc<Shared<P>>) -> Option<InheritedState> {
     let inheritance = load_with_retries(shared).await?;
     evacuation::wait_until_known(shared).await.then_some(inheritance)
 }
@@ -176,13 +176,13 @@
 async fn run_scheduler<P: Platform>(
     shared: &Rc<Shared<P>>,
     row: &OwnerRow,
-    inheritance: Inheritance,
+    inheritance: InheritedState,
     (sender, inbox): (mpsc::Sender<OwnerMessage>, mpsc::Receiver<OwnerMessage>),
     batches: mpsc::Sender<Batch>,
 ) -> OwnershipEnd {
     let scheduler = new_scheduler(shared, row.epoch, inheritance);
     let watcher = task::spawn_local(workers_watch::run(Rc::clone(shared), sender.clone()));
-    *shared.local_owner.borrow_mut() = Some(sender.clone());
+    *shared.owner_inbox.borrow_mut() = Some(sender.clone());
     shared.adopt_owner(OwnerView { epoch: row.epoch, address: Some(row.address) }, "self");
     let ended = Owner::new(Rc::clone(shared), scheduler, (sender, inbox), batches).run().await;
     watcher.abort();
@@ -200,7 +200,7 @@
     match shared.peers.take_over(successor, epoch, TAKE_OVER_TIMEOUT).await {
         Ok(answer) => {
             log::info!(peer = peer, epoch = epoch, by = answer.epoch; "owner: followed");
-            shared.note_told_owner(answer.epoch, &answer.owner_address);
+            shared.record_reported_owner(answer.epoch, &answer.owner_address);
         }
         Err(status) => {
             log::warn!(
@@ -215,11 +215,11 @@
 fn new_scheduler<P: Platform>(
     shared: &Rc<Shared<P>>,
     epoch: u64,
-    inheritance: Inheritance,
+    inheritance: InheritedState,
 ) -> Scheduler {
     let settings = SchedulerSettings {
-        longest_lease: shared.settings.longest_lease,
-        remember_ended: shared.settings.remember_ended,
+        max_lease: shared.settings.max_lease,
+        ended_job_retention: shared.settings.ended_job_retention,
         worker_heartbeat: shared.settings.worker_heartbeat,
     };
     let now = shared.clock.now();
@@ -236,21 +236,24 @@
     let strongest = owner.map(|owner| owner.row.strongest).unwrap_or_default();
     let row = new_owner_row(shared, epoch + 1, strongest);
     shared.set_claimed_epoch(row.epoch);
-    shared.asked_to_follow.set(0);
+    shared.takeover_requested_epoch.set(0);
     let earlier = claim.earlier_owners(Time::ZERO).may_renew_for(Time::ZERO);
     let earlier_renew_for_ms = Some(earlier.as_millis() as u64);
     let head = HeadRow { epoch: row.epoch, write: 0, earlier_renew_for_ms };
     let transaction = RowTransaction {
-        expected: vec![(rows::owner_row(), version), (rows::head_row(), claim.head_version)],
+        expected: vec![
+            (rows::owner_row_name(), version),
+            (rows::head_row_name(), claim.head_version),
+        ],
         puts: vec![
-            (rows::owner_row(), rows::encode(&row)?),
-            (rows::head_row(), rows::encode(&head)?),
+            (rows::owner_row_name(), rows::encode(&row)?),
+            (rows::head_row_name(), rows::encode(&head)?),
         ],
         removes: Vec::new(),
     };
     let began_at = shared.clock.now();
     let answer = shared.services.store.transact(&transaction).await;
-    shared.note_store(&answer);
+    shared.record_store_result(&answer);
     match answer? {
         TransactionAnswer::Done { version } => {
             shared.confirmed_owner_at.set(Some(began_at));
@@ -302,30 +305,31 @@
     let found = rows::read_owner(shared).await?;
     let Some((_, version)) = found.filter(|(found, _)| found == row) else { return Ok(()) };
     let transaction = RowTransaction {
-        expected: vec![(rows::owner_row(), version)],
-        puts: vec![(rows::owner_row(), rows::encode(released)?)],
+        expected: vec![(rows::owner_row_name(), version)],
+        puts: vec![(rows::owner_row_name(), rows::encode(released)?)],
         removes: Vec::new(),
     };
     shared.services.store.transact(&transaction).await.map(|_| ())
 }
 
 /// Reads the state that the previous owner left.
-async fn load<P: Platform>(shared: &Rc<Shared<P>>) -> Result<Inheritance, PlatformError> {
+async fn load<P: Platform>(shared: &Rc<Shared<P>>) -> Result<InheritedState, PlatformError> {
     // Read one table after the other, since they share the box's link.
     let instances = scan::read_table(shared, rows::INCARNATIONS_TABLE).await?;
     let progress = scan::read_table(shared, rows::PROGRESS_TABLE).await?;
     let jobs = scan::read_table(shared, rows::JOBS_TABLE).await?;
     let mut progress = rows::decode_all::<ProgressRecord>(&progress);
-    let mut inheritance = Inheritance {
-        effects: load_effects(shared).await?,
+    let mut inheritance = InheritedState {
+        interference: load_effects(shared).await?,
         instances: rows::decode_all(&instances).into_values().collect(),
-        ..Inheritance::default()
+        ..InheritedState::default()
     };
     for (key, job) in rows::decode_all(&jobs) {
         inheritance.jobs.push((job, progress.remove(&key)));
     }
-    inheritance.ended = progress.into_values().collect();
-    for unreadable in inheritance.ended.iter().filter(|progress| progress.outcome == Outcome::Open)
+    inheritance.ended_progress = progress.into_values().collect();
+    for unreadable in
+        inheritance.ended_progress.iter().filter(|progress| progress.outcome == Outcome::Open)
     {
         log::error!(
             job = unreadable.id.to_string();
@@ -338,7 +342,7 @@
 /// Reads what the previous owner learned about images. Returns an empty record if the row can't be
 /// decoded, since the scheduler relearns it within seconds.
 async fn load_effects<P: Platform>(shared: &Rc<Shared<P>>) -> Result<EffectsRecord, PlatformError> {
-    match rows::read_decoded::<_, EffectsRecord>(shared, &rows::effects_row()).await {
+    match rows::read_decoded::<_, EffectsRecord>(shared, &rows::effects_row_name()).await {
         Ok(effects) => Ok(effects.map(|(effects, _)| effects).unwrap_or_default()),
         Err(error @ PlatformError::Malformed { .. }) => {
             log::error!(
@@ -352,7 +356,7 @@
 
 /// Releases the fleet in an orderly way, if this box owns it.
 pub(super) async fn release_if_owner<P: Platform>(shared: &Rc<Shared<P>>) {
-    let owner = shared.local_owner.borrow().clone();
+    let owner = shared.owner_inbox.borrow().clone();
     if let Some(owner) = owner {
         let _ = owner.send(OwnerMessage::Release).await;
     }
