--- a/crates/kitetraild/src/callers/entry.rs
+++ b/crates/kitetraild/src/callers/entry.rs
@@ -270,7 +270,7 @@
             Ok(call) => call,
             Err(error) => {
                 log::info!("route: refused a request: {error}");
-                self.parts.metrics.note_request("not-run", "bad request", 0.0);
+                self.parts.metrics.record_request("not-run", "bad request", 0.0);
                 return answer::local_response(
                     error.status(),
                     Outcome::NotRun,
@@ -317,7 +317,7 @@
             "route: {id} {} to {destination}: {outcome}, {reason}, {took_ms:.1} ms",
             call.service
         );
-        self.parts.metrics.note_request(&outcome.to_string(), reason, took_ms);
+        self.parts.metrics.record_request(&outcome.to_string(), reason, took_ms);
     }
 }
 
--- a/crates/kitetraild/src/clock.rs
+++ b/crates/kitetraild/src/clock.rs
@@ -85,7 +85,7 @@
 }
 
 /// Returns an incarnation number, which is greater for each later run of a box.
-pub fn incarnation() -> u64 {
+pub fn new_incarnation() -> u64 {
     unix_ms()
 }
 
--- a/crates/kitetraild/src/control/shard_io.rs
+++ b/crates/kitetraild/src/control/shard_io.rs
@@ -40,7 +40,7 @@
     /// Logs and counts a decision.
     pub fn record_decision(&self, shard: &ShardId, decision: &Decision) {
         log::info!("place: shard {shard}: {decision}");
-        self.metrics.note_decision(match decision {
+        self.metrics.record_decision(match decision {
             Decision::TookOver(_) => "took-over",
             Decision::HandedBack(_) => "handed-back",
             Decision::SteppedDown(_) => "stepped-down",
@@ -78,7 +78,7 @@
             },
             Action::Commit(transaction) => {
                 let answer = self.table.commit(&transaction).await;
-                self.metrics.note_commit(match answer {
+                self.metrics.record_commit(match answer {
                     CommitAnswer::Committed(_) => "committed",
                     CommitAnswer::Conflict => "conflict",
                     CommitAnswer::Unknown => "unknown",
--- a/crates/kitetraild/src/control/state/gossip.rs
+++ b/crates/kitetraild/src/control/state/gossip.rs
@@ -22,7 +22,7 @@
         self.router.borrow_mut().set_endpoints(set, now);
         for info in self.membership.peers() {
             let (peers, message, address) = (Rc::clone(&self.peers), message.clone(), info.peer);
-            self.metrics.note_peer_message("publish");
+            self.metrics.record_peer_message("publish");
             tokio::task::spawn_local(async move {
                 if let Err(error) = peers.publish(address, message).await {
                     log::debug!(
@@ -41,7 +41,7 @@
         let view = self.view();
         for info in peers {
             let (peers, view, sender) = (Rc::clone(&self.peers), view.clone(), self.sender.clone());
-            self.metrics.note_peer_message("exchange");
+            self.metrics.record_peer_message("exchange");
             tokio::task::spawn_local(async move {
                 match peers.exchange(info.peer, view).await {
                     Ok(view) => {
@@ -84,7 +84,7 @@
     pub(super) fn handle_peer_view(&mut self, from: std::net::SocketAddr, view: peer::View) {
         if self.merge_view(&view) {
             let (peers, sender) = (Rc::clone(&self.peers), self.sender.clone());
-            self.metrics.note_peer_message("fetch");
+            self.metrics.record_peer_message("fetch");
             tokio::task::spawn_local(async move {
                 if let Ok(knowledge) = peers.fetch(from).await {
                     let _ = sender.send(ControlMessage::PeerKnowledge(knowledge)).await;
--- a/crates/kitetraild/src/control/state/revision.rs
+++ b/crates/kitetraild/src/control/state/revision.rs
@@ -77,7 +77,7 @@
         let evaluation = evaluate(program, number, &tasks, &self.policy);
         for fault in evaluation.faults {
             log::warn!("policy: revision {number}: {fault}");
-            self.metrics.note_policy_fault(fault.function);
+            self.metrics.record_policy_fault(fault.function);
         }
         self.policy = evaluation.table;
         if let Some(revision) = self.configuration.revision() {
--- a/crates/kitetraild/src/daemon.rs
+++ b/crates/kitetraild/src/daemon.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     callers::{CallerServer, CallerServerParts, ChosenBalancer},
-    clock::{Clock, incarnation},
+    clock::{Clock, new_incarnation},
     control::{Control, ControlMessage, ControlParts},
     metrics::Metrics,
     operators, peers,
@@ -35,10 +35,10 @@
 #[derive(Debug, Error)]
 pub enum DaemonError {
     /// A system call failed.
-    #[error("{what}: {cause}")]
+    #[error("{operation}: {cause}")]
     Io {
         /// The operation that failed.
-        what: String,
+        operation: String,
         /// The system's error.
         cause: std::io::Error,
     },
@@ -56,7 +56,7 @@
 
 async fn run_parts(settings: Rc<Settings>) -> Result<(), DaemonError> {
     let clock = Clock::start();
-    let incarnation = incarnation();
+    let incarnation = new_incarnation();
     let metrics = Metrics::new()?;
     let balancer = ChosenBalancer::new(settings.requests.balancer);
     let router = Router::new(settings.router_settings(), balancer, incarnation);
@@ -147,6 +147,6 @@
     Ok(StopSignals { terminate, interrupt })
 }
 
-fn io_error(what: &str, cause: std::io::Error) -> DaemonError {
-    DaemonError::Io { what: what.to_owned(), cause }
+fn io_error(operation: &str, cause: std::io::Error) -> DaemonError {
+    DaemonError::Io { operation: operation.to_owned(), cause }
 }
--- a/crates/kitetraild/src/fleet/committer.rs
+++ b/crates/kitetraild/src/fleet/committer.rs
@@ -188,7 +188,7 @@
                 own_write.map(|row| row.version)
             }
         };
-        self.shared.metrics.note_commit(if version.is_some() { "done" } else { "conflict" });
+        self.shared.metrics.record_commit(if version.is_some() { "done" } else { "conflict" });
         self.head_version = version.unwrap_or(self.head_version);
         version.is_some()
     }
@@ -228,7 +228,7 @@
                         write = self.write;
                         "owner: the answer to a write seems lost, sending it again"
                     );
-                    self.shared.metrics.note_commit("again");
+                    self.shared.metrics.record_commit("again");
                     self.spawn_attempt(&mut attempts, transaction);
                     sent_count += 1;
                 }
@@ -242,7 +242,7 @@
     }
 
     async fn log_failure_and_wait(&self, error: &PlatformError) {
-        self.shared.metrics.note_commit("failed");
+        self.shared.metrics.record_commit("failed");
         match is_permanent_refusal(error) {
             true => log::error!(
                 write = self.write;
--- a/crates/kitetraild/src/fleet/front.rs
+++ b/crates/kitetraild/src/fleet/front.rs
@@ -118,7 +118,7 @@
     };
     let (operation, response) = dispatch(shared, &config, request, limits, started).await;
     let latency_ms = started.elapsed().as_secs_f64() * 1_000.0;
-    shared.metrics.note_request(response.status().as_str(), operation, latency_ms);
+    shared.metrics.record_request(response.status().as_str(), operation, latency_ms);
     response
 }
 
--- a/crates/kitetraild/src/fleet/operators.rs
+++ b/crates/kitetraild/src/fleet/operators.rs
@@ -70,6 +70,6 @@
         response: &mut Response,
         _: &mut FlowCtrl,
     ) {
-        response.render(Text::Plain(self.metrics.page()));
+        response.render(Text::Plain(self.metrics.render()));
     }
 }
--- a/crates/kitetraild/src/fleet/owner/actions.rs
+++ b/crates/kitetraild/src/fleet/owner/actions.rs
@@ -59,10 +59,10 @@
     fn record_log_entry(&self, decision: &LogEntry) {
         match decision {
             LogEntry::CrashCounted { evidence, .. } => {
-                self.shared.metrics.note_task_crash(evidence.as_str());
+                self.shared.metrics.record_task_crash(evidence.as_str());
             }
-            LogEntry::WorkerRestarted { .. } => self.shared.metrics.note_worker_restart(),
-            LogEntry::CrashingTaskFailed { .. } => self.shared.metrics.note_crashing_job(),
+            LogEntry::WorkerRestarted { .. } => self.shared.metrics.record_worker_restart(),
+            LogEntry::CrashingTaskFailed { .. } => self.shared.metrics.record_crashing_job(),
             _ => {}
         }
         log_entries::log_entry(decision);
@@ -76,7 +76,7 @@
         lease_until_ms: u64,
         order: Order,
     ) {
-        self.shared.metrics.note_decision("order");
+        self.shared.metrics.record_decision("order");
         let (workers, sender) = (self.shared.services.workers.clone(), self.sender.clone());
         task::spawn_local(async move {
             let answer = workers.order(&entry, token, lease_until_ms, &order).await;
@@ -86,7 +86,7 @@
     }
 
     fn send_poll(&self, instance: InstanceNo, entry: Arc<WorkerEntry>, poll: Poll) {
-        self.shared.metrics.note_decision("hold");
+        self.shared.metrics.record_decision("hold");
         let (workers, sender) = (self.shared.services.workers.clone(), self.sender.clone());
         let sent_at = self.shared.clock.now();
         let answer_slack = self.shared.settings.limits.poll_margin;
--- a/crates/kitetraild/src/fleet/owner/mod.rs
+++ b/crates/kitetraild/src/fleet/owner/mod.rs
@@ -327,7 +327,7 @@
         let runs_left = self.scheduler.runs_in_evacuated_zones();
         if runs_left != self.published_runs_left {
             self.published_runs_left = runs_left;
-            self.shared.metrics.note_evacuated_runs_left(runs_left);
+            self.shared.metrics.record_evacuated_runs_left(runs_left);
         }
         let counts = self.scheduler.pending_by_queue();
         let counts = counts.into_iter().map(|(queue, count)| (queue.to_string(), count));
--- a/crates/kitetraild/src/fleet/run.rs
+++ b/crates/kitetraild/src/fleet/run.rs
@@ -26,9 +26,9 @@
     takeover,
 };
 use crate::{
-    clock::{Clock, incarnation},
+    clock::{Clock, new_incarnation},
     daemon::DaemonError,
-    logging::LeftOut,
+    logging::DroppedLines,
     metrics::Metrics,
 };
 
@@ -51,7 +51,7 @@
 pub fn run<P: Platform>(
     settings: FleetSettings,
     services: Services<P>,
-    left_out: LeftOut,
+    left_out: DroppedLines,
 ) -> Result<(), DaemonError> {
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|cause| io_error("the runtime can't be started", cause))?;
@@ -61,10 +61,10 @@
 async fn run_components<P: Platform>(
     settings: FleetSettings,
     services: Services<P>,
-    left_out: LeftOut,
+    left_out: DroppedLines,
 ) -> Result<(), DaemonError> {
     let metrics = Metrics::new()?;
-    metrics.show_silences(services.silences.clone());
+    metrics.export_silent_connections(services.silences.clone());
     let mut terminate = watch_signal(SignalKind::terminate())?;
     let mut hangup = watch_signal(SignalKind::hangup())?;
     let callers = settings.listen.callers;
@@ -73,7 +73,7 @@
         .map_err(|cause| io_error(&format!("can't listen for callers on {callers}"), cause))?;
     let ready = Arc::new(AtomicBool::new(false));
     operators::start(&settings, Arc::clone(&ready), metrics.clone());
-    let shared = Shared::new(settings, services, Clock::start(), incarnation(), metrics);
+    let shared = Shared::new(settings, services, Clock::start(), new_incarnation(), metrics);
     log::info!(
         name = shared.settings.box_name.as_str(), incarnation = shared.incarnation;
         "daemon: started, accepting requests on {callers}"
@@ -102,13 +102,13 @@
 }
 
 /// Counts the dropped log lines and reports them in the log.
-async fn report_dropped_lines<P: Platform>(shared: Rc<Shared<P>>, left_out: LeftOut) {
+async fn report_dropped_lines<P: Platform>(shared: Rc<Shared<P>>, left_out: DroppedLines) {
     let mut reported = 0;
     loop {
         time::sleep(DROPPED_LINES_REPORT_INTERVAL).await;
         let lines = left_out.lines();
         if lines > reported {
-            shared.metrics.note_log_lines_left_out(lines - reported);
+            shared.metrics.record_dropped_log_lines(lines - reported);
             log::warn!(lines = lines - reported, in_all = lines; "log: lines were left out");
             reported = lines;
         }
@@ -135,7 +135,7 @@
     if since_last_check < MIN_SUSPENSION {
         return before;
     }
-    shared.metrics.note_suspension();
+    shared.metrics.record_suspension();
     log::warn!(
         suspended_ms = since_last_check.as_millis() as u64,
         owns = shared.local_owner.borrow().is_some();
@@ -167,6 +167,6 @@
     signal(kind).map_err(|cause| io_error("signals can't be watched", cause))
 }
 
-fn io_error(what: &str, cause: io::Error) -> DaemonError {
-    DaemonError::Io { what: what.to_owned(), cause }
+fn io_error(operation: &str, cause: io::Error) -> DaemonError {
+    DaemonError::Io { operation: operation.to_owned(), cause }
 }
--- a/crates/kitetraild/src/fleet/shared.rs
+++ b/crates/kitetraild/src/fleet/shared.rs
@@ -208,7 +208,7 @@
         asked_at: Time,
     ) {
         if let Some(zones) = self.evacuated.note(source, version, changes, asked_at) {
-            self.metrics.note_evacuated_zones(zones as u64);
+            self.metrics.record_evacuated_zones(zones as u64);
         }
     }
 
--- a/crates/kitetraild/src/fleet/takeover.rs
+++ b/crates/kitetraild/src/fleet/takeover.rs
@@ -161,7 +161,7 @@
     shared.write_pending_since.set(None);
     shared.confirmed_owner_at.set(None);
     shared.own_lag_ms.set(0);
-    shared.metrics.note_evacuated_runs_left(0);
+    shared.metrics.record_evacuated_runs_left(0);
     ended
 }
 
--- a/crates/kitetraild/src/fleet/workers_watch.rs
+++ b/crates/kitetraild/src/fleet/workers_watch.rs
@@ -59,7 +59,7 @@
             worker = id.as_str(), reason = fault.reason();
             "worker: its entry is unusable, so it is given no new work: {fault}"
         );
-        metrics.note_unusable_entry(fault.reason());
+        metrics.record_unusable_entry(fault.reason());
         // If the previous entry returns, it must be sent again.
         self.workers.remove(&id);
         let is_new = self.unusable.insert(id.clone(), fault).is_none();
--- a/crates/kitetraild/src/logging/bounded.rs
+++ b/crates/kitetraild/src/logging/bounded.rs
@@ -23,9 +23,9 @@
 
 /// A counter of the lines that a log dropped.
 #[derive(Debug, Clone, Default)]
-pub struct LeftOut(Arc<AtomicU64>);
+pub struct DroppedLines(Arc<AtomicU64>);
 
-impl LeftOut {
+impl DroppedLines {
     /// Returns the number of lines that were dropped since the process started.
     pub fn lines(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
@@ -33,7 +33,7 @@
 }
 
 /// Creates an appender that writes on a separate thread, and the counter of its dropped lines.
-pub(super) fn new_appender(writer: impl Append) -> (BoundedAppender, LeftOut) {
+pub(super) fn new_appender(writer: impl Append) -> (BoundedAppender, DroppedLines) {
     let written = Arc::new(AtomicU64::new(0));
     let counting_writer = CountingWriter { writer, written: Arc::clone(&written) };
     let queue = AsyncBuilder::new("log")
@@ -41,11 +41,12 @@
         .overflow_drop_incoming()
         .append(counting_writer)
         .build();
-    let left_out = LeftOut::default();
+    let dropped_lines = DroppedLines::default();
     let budget = Mutex::new(LineBudget::new(Instant::now()));
     let enqueued = AtomicU64::new(0);
-    let appender = BoundedAppender { queue, budget, enqueued, written, left_out: left_out.clone() };
-    (appender, left_out)
+    let appender =
+        BoundedAppender { queue, budget, enqueued, written, dropped_lines: dropped_lines.clone() };
+    (appender, dropped_lines)
 }
 
 /// An appender that queues lines for the writing thread, up to a number and a rate.
@@ -55,7 +56,7 @@
     budget: Mutex<LineBudget>,
     enqueued: AtomicU64,
     written: Arc<AtomicU64>,
-    left_out: LeftOut,
+    dropped_lines: DroppedLines,
 }
 
 impl Append for BoundedAppender {
@@ -67,7 +68,7 @@
             .saturating_sub(self.written.load(Ordering::Relaxed));
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
         if queued_lines >= MAX_QUEUED_LINES || !budget.allows(Instant::now(), is_severe) {
-            self.left_out.0.fetch_add(1, Ordering::Relaxed);
+            self.dropped_lines.0.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
         drop(budget);
@@ -76,7 +77,7 @@
         if appended.is_err() {
             // The queue rejected the line, so it does not count as queued.
             self.enqueued.fetch_sub(1, Ordering::Relaxed);
-            self.left_out.0.fetch_add(1, Ordering::Relaxed);
+            self.dropped_lines.0.fetch_add(1, Ordering::Relaxed);
         }
         appended
     }
--- a/crates/kitetraild/src/logging/mod.rs
+++ b/crates/kitetraild/src/logging/mod.rs
@@ -12,7 +12,7 @@
 };
 use serde::Deserialize;
 
-pub use bounded::LeftOut;
+pub use bounded::DroppedLines;
 pub use budget::LineBudget;
 
 /// How long a process that ends waits until its last lines are written. A blocked reader of the log
@@ -62,19 +62,19 @@
 /// Starts a log of JSON lines on standard output that never blocks the process.
 ///
 /// A separate thread writes the lines. Lines that exceed the rate limit or find the queue full are
-/// dropped and counted: see [`LeftOut`].
-pub fn start_bounded(level: Level) -> LeftOut {
+/// dropped and counted: see [`DroppedLines`].
+pub fn start_nonblocking(level: Level) -> DroppedLines {
     let filter = LevelFilter::MoreSevereEqual(minimum_severity(level));
     let stdout = Stdout::default().with_layout(JsonLayout::default());
-    let (bounded, left_out) = bounded::new_appender(stdout);
+    let (bounded, dropped_lines) = bounded::new_appender(stdout);
     logforth::starter_log::builder()
         .dispatch(|dispatch| dispatch.filter(filter).append(bounded))
         .apply();
-    left_out
+    dropped_lines
 }
 
 /// Flushes the queued lines, for at most `FLUSH_TIMEOUT`.
-pub fn flush_soon() {
+pub fn flush_with_timeout() {
     let (done, flushed) = mpsc::channel();
     thread::spawn(move || {
         log::logger().flush();
--- a/crates/kitetraild/src/metrics.rs
+++ b/crates/kitetraild/src/metrics.rs
@@ -104,64 +104,64 @@
     }
 
     /// Counts an answered request.
-    pub fn note_request(&self, outcome: &str, reason: &str, latency_ms: f64) {
+    pub fn record_request(&self, outcome: &str, reason: &str, latency_ms: f64) {
         let outcome = KeyValue::new("outcome", outcome.to_owned());
         self.latency_ms.record(latency_ms, std::slice::from_ref(&outcome));
         self.requests.add(1, &[outcome, KeyValue::new("reason", reason.to_owned())]);
     }
 
     /// Counts a placement decision.
-    pub fn note_decision(&self, kind: &'static str) {
+    pub fn record_decision(&self, kind: &'static str) {
         self.decisions.add(1, &[KeyValue::new("kind", kind)]);
     }
 
     /// Counts a transaction.
-    pub fn note_commit(&self, answer: &'static str) {
+    pub fn record_commit(&self, answer: &'static str) {
         self.commits.add(1, &[KeyValue::new("answer", answer)]);
     }
 
     /// Counts an entry in the list of workers that does not describe a usable worker.
-    pub fn note_unusable_entry(&self, reason: &'static str) {
+    pub fn record_unusable_entry(&self, reason: &'static str) {
         self.unusable_entries.add(1, &[KeyValue::new("reason", reason)]);
     }
 
     /// Counts a crash of a worker that is attributed to a task that ran on the worker.
-    pub fn note_task_crash(&self, evidence: &'static str) {
+    pub fn record_task_crash(&self, evidence: &'static str) {
         self.task_crashes.add(1, &[KeyValue::new("evidence", evidence)]);
     }
 
     /// Counts a job that failed because one of its tasks crashes its workers.
-    pub fn note_crashing_job(&self) {
+    pub fn record_crashing_job(&self) {
         self.crashing_jobs.add(1, &[]);
     }
 
     /// Counts a worker that restarted under the same id.
-    pub fn note_worker_restart(&self) {
+    pub fn record_worker_restart(&self) {
         self.worker_restarts.add(1, &[]);
     }
 
     /// Counts a suspension of the machine that runs this box.
-    pub fn note_suspension(&self) {
+    pub fn record_suspension(&self) {
         self.suspensions.add(1, &[]);
     }
 
     /// Counts a call of a policy function that failed.
-    pub fn note_policy_fault(&self, function: &'static str) {
+    pub fn record_policy_fault(&self, function: &'static str) {
         self.policy_faults.add(1, &[KeyValue::new("function", function)]);
     }
 
     /// Counts a message sent to another daemon.
-    pub fn note_peer_message(&self, kind: &'static str) {
+    pub fn record_peer_message(&self, kind: &'static str) {
         self.peer_messages.add(1, &[KeyValue::new("kind", kind)]);
     }
 
     /// Counts lines that the log dropped.
-    pub fn note_log_lines_left_out(&self, lines: u64) {
+    pub fn record_dropped_log_lines(&self, lines: u64) {
         self.log_lines_left_out.add(lines, &[]);
     }
 
     /// Exports how often connections were found unresponsive.
-    pub fn show_silences(&self, silence_counts: SilenceCounts) {
+    pub fn export_silent_connections(&self, silence_counts: SilenceCounts) {
         let meter = self.provider.meter("kitetrail");
         let _ = meter
             .u64_observable_counter("kitetrail.connections.silent")
@@ -175,17 +175,17 @@
     }
 
     /// Records the number of evacuated zones.
-    pub fn note_evacuated_zones(&self, zones: u64) {
+    pub fn record_evacuated_zones(&self, zones: u64) {
         self.evacuated_zones.record(zones, &[]);
     }
 
     /// Records the number of runs that are left in evacuated zones.
-    pub fn note_evacuated_runs_left(&self, runs: u64) {
+    pub fn record_evacuated_runs_left(&self, runs: u64) {
         self.evacuated_runs_left.record(runs, &[]);
     }
 
     /// Returns all metrics in the Prometheus text format.
-    pub fn page(&self) -> String {
+    pub fn render(&self) -> String {
         let mut page = Vec::new();
         match TextEncoder::new().encode(&self.registry.gather(), &mut page) {
             Ok(()) => String::from_utf8_lossy(&page).into_owned(),
--- a/crates/kitetraild/src/operators/api.rs
+++ b/crates/kitetraild/src/operators/api.rs
@@ -127,7 +127,7 @@
     ) {
         match self.resource {
             Resource::Health => response.render(Text::Plain("up\n")),
-            Resource::Metrics => response.render(Text::Plain(self.metrics.page())),
+            Resource::Metrics => response.render(Text::Plain(self.metrics.render())),
             Resource::Ready => self.render_ready(response).await,
             resource => match authorize(&self.tokens, request, resource.required_access()) {
                 Ok(identity) => self.serve(identity, request, response).await,
