--- a/crates/kitetrail-core/benches/placement.rs
+++ b/crates/kitetrail-core/benches/placement.rs
@@ -9,9 +9,9 @@
     fleet::{Liveness, WorkerInfo},
     placement::{FirstFit, InterferenceAware, Placer, ReliefSettings},
     shard::{Action, Event, Shard, ShardSettings},
-    table::{CommitAnswer, Key},
-    task::{InboxItem, Kind, Spec},
-    worker::{Phase, SyncReply, TaskReport, UsageSample, Want, Wants},
+    table::{CommitOutcome, RowKey},
+    task::{InboxItem, Spec, SpecKind},
+    worker::{DesiredState, SyncReply, TaskPhase, TaskReport, UsageSample, WorkerOrders},
 };
 
 const WORKERS: [usize; 3] = [8, 65, 1_200];
@@ -40,7 +40,7 @@
 fn spec(text: &str, tasks: u32) -> Spec {
     Spec::builder()
         .name(name(text))
-        .kind(Kind::Job)
+        .kind(SpecKind::Job)
         .team(name("desk"))
         .class(name(text))
         .tasks(tasks)
@@ -64,8 +64,8 @@
         let mut driven =
             Self { shard, now: Time::from_ms(1_000), version: Version(0), submitted: 0 };
         let infos = (0..workers).map(worker_info).collect();
-        driven.drive(Event::FleetSeen(infos));
-        driven.drive(Event::Ranked(Some(0)));
+        driven.drive(Event::FleetUpdated(infos));
+        driven.drive(Event::RankChanged(Some(0)));
         for _ in 0..40 {
             driven.advance(250);
         }
@@ -87,7 +87,7 @@
     fn submit(&mut self, spec: Spec) {
         self.submitted += 1;
         let op = OpId::from_change(&self.submitted.to_string());
-        let key = Key::inbox(&name("zone-0:0"), &op);
+        let key = RowKey::inbox(&name("zone-0:0"), &op);
         let count = spec.tasks;
         let item = InboxItem::Submit { spec, first: 0, count };
         self.drive(Event::InboxRead(vec![(key, Version(1), item)]));
@@ -95,7 +95,7 @@
 
     fn cancel(&mut self, spec: &str) {
         let op = OpId::from_change(&format!("stop-{}", self.submitted));
-        let key = Key::inbox(&name("zone-0:0"), &op);
+        let key = RowKey::inbox(&name("zone-0:0"), &op);
         let item = InboxItem::Cancel { spec: name(spec) };
         self.drive(Event::InboxRead(vec![(key, Version(1), item)]));
     }
@@ -113,23 +113,23 @@
     fn answer(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::ReadLease => Some(Event::LeaseRead(None)),
-            Action::Load => Some(Event::Loaded(Vec::new())),
+            Action::ReadTasks => Some(Event::TasksRead(Vec::new())),
             Action::ReadInbox => Some(Event::InboxRead(Vec::new())),
             Action::Commit(_) => {
                 self.version = self.version.next();
-                Some(Event::CommitAnswered(CommitAnswer::Committed(self.version)))
+                Some(Event::CommitAnswered(CommitOutcome::Committed(self.version)))
             }
             Action::Sync(worker, request) => {
                 let (list, orders) = match &request.wants {
-                    Wants::Orders { list, orders } => (*list, orders.as_slice()),
-                    Wants::Listen | Wants::Renew { .. } => (0, &[][..]),
+                    WorkerOrders::Orders { list, orders } => (*list, orders.as_slice()),
+                    WorkerOrders::Listen | WorkerOrders::Renew { .. } => (0, &[][..]),
                 };
                 let tasks = orders.iter().map(|order| TaskReport {
                     task: order.task.clone(),
                     attempt: order.attempt,
                     phase: match order.want {
-                        Want::Run | Want::Throttle => Phase::Running,
-                        Want::Stop | Want::Checkpoint => Phase::Stopped,
+                        DesiredState::Run | DesiredState::Throttle => TaskPhase::Running,
+                        DesiredState::Stop | DesiredState::Checkpoint => TaskPhase::Stopped,
                     },
                     kind: order.kind,
                     class: order.class.clone(),
@@ -189,7 +189,7 @@
     };
     criterion.bench_function("usage_report", |bencher| {
         bencher.iter(|| {
-            placer.observe(black_box(&sample), kitetrail_core::placement::Band::Middle);
+            placer.observe(black_box(&sample), kitetrail_core::placement::LoadBand::Middle);
         });
     });
 }
--- a/crates/kitetrail-core/benches/routing.rs
+++ b/crates/kitetrail-core/benches/routing.rs
@@ -5,7 +5,9 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use kitetrail_core::{
     Epoch, SpecName, Time, ZoneId,
-    routing::{Arrival, Exchange, PowerOfTwo, RequestNumber, Router, RouterSettings, Verdict},
+    routing::{
+        Exchange, IncomingRequest, PowerOfTwo, RequestId, Router, RouterSettings, RoutingDecision,
+    },
     shard::{EndpointSet, PlacedEndpoint},
 };
 
@@ -49,20 +51,25 @@
             bencher.iter(|| {
                 number += 1;
                 let now = Time::from_us(1_000_000 + number * 10);
-                let arrival = Arrival {
-                    number: RequestNumber(number),
+                let incoming = IncomingRequest {
+                    number: RequestId(number),
                     service: service.clone(),
                     repeatable: true,
                     rank: 100,
                     deadline: now + Duration::from_secs(1),
                 };
-                let verdict = router.offer(arrival, now);
-                if let Verdict::Send(endpoint) = verdict {
+                let decision = router.route(incoming, now);
+                if let RoutingDecision::Send(endpoint) = decision {
                     let answered = now + Duration::from_millis(2);
-                    let number = RequestNumber(number);
-                    black_box(router.finish(number, endpoint, Exchange::Answered, answered));
+                    let number = RequestId(number);
+                    black_box(router.on_exchange_end(
+                        number,
+                        endpoint,
+                        Exchange::Answered,
+                        answered,
+                    ));
                 }
-                black_box(verdict)
+                black_box(decision)
             });
         });
     }
--- a/crates/kitetrail-core/src/calls.rs
+++ b/crates/kitetrail-core/src/calls.rs
@@ -8,11 +8,11 @@
 
 use crate::{
     BoxId, OpId, SpecName, Version,
-    table::{Condition, Key, Record, Row, Transaction, Write},
+    table::{Condition, Record, Row, RowKey, Transaction, Write},
 };
 
 /// The size of the largest answer that is stored for repeated calls, in bytes.
-pub const MAX_KEPT_ANSWER_BYTES: usize = 4_096;
+pub const MAX_STORED_ANSWER_BYTES: usize = 4_096;
 
 /// The durable state of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,27 +51,27 @@
 
 impl CallKey {
     /// Returns the key of the call's row in the table.
-    pub fn row(&self) -> Key {
-        Key::call(&self.service, &self.key)
+    pub fn row_key(&self) -> RowKey {
+        RowKey::call(&self.service, &self.key)
     }
 }
 
 /// The result of an attempt to claim a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClaimAnswer {
+pub enum ClaimResult {
     /// This box holds the claim and is to send the call.
     Granted,
     /// Another claim exists, and the call may still be running.
-    Held,
+    AlreadyClaimed,
     /// The call ran before and was answered.
-    Ran {
+    AlreadyRan {
         /// The HTTP status of the earlier answer.
         status: u16,
         /// The body of the earlier answer, if it was stored.
         body: Option<String>,
     },
     /// The table did not show who holds the claim. The call was not sent.
-    NoTable,
+    TableUnavailable,
 }
 
 /// A change to the row of one call.
@@ -94,7 +94,7 @@
 ///
 /// A claim requires that the row is absent. Only the holder makes the other changes, and
 /// they require the row version that its claim produced.
-pub fn transaction(
+pub fn build_transaction(
     op: OpId,
     holder: &BoxId,
     incarnation: u64,
@@ -110,7 +110,7 @@
             }
             CallChange::Release => None,
         };
-        let row_key = key.row();
+        let row_key = key.row_key();
         transaction.conditions.push(Condition { key: row_key.clone(), version: *version });
         transaction.writes.push(Write { key: row_key, record });
     }
@@ -119,14 +119,14 @@
 
 /// Returns the result of the claim made by the write `op`, as shown by the row read back, or
 /// `None` if there is no row.
-pub fn judge_claim(row: Option<&Row>, op: &OpId) -> Option<ClaimAnswer> {
+pub fn claim_result(row: Option<&Row>, op: &OpId) -> Option<ClaimResult> {
     let row = row?;
-    let Record::Call(call) = &row.record else { return Some(ClaimAnswer::NoTable) };
+    let Record::Call(call) = &row.record else { return Some(ClaimResult::TableUnavailable) };
     Some(match &call.state {
-        CallState::Claimed if row.op == *op => ClaimAnswer::Granted,
-        CallState::Claimed => ClaimAnswer::Held,
+        CallState::Claimed if row.op == *op => ClaimResult::Granted,
+        CallState::Claimed => ClaimResult::AlreadyClaimed,
         CallState::Done { status, body } => {
-            ClaimAnswer::Ran { status: *status, body: body.clone() }
+            ClaimResult::AlreadyRan { status: *status, body: body.clone() }
         }
     })
 }
--- a/crates/kitetrail-core/src/config.rs
+++ b/crates/kitetrail-core/src/config.rs
@@ -48,7 +48,7 @@
     }
 
     /// Puts a revision in force if it is newer than the current one, and returns whether it was.
-    pub fn offer(&mut self, revision: Revision) -> bool {
+    pub fn apply_if_newer(&mut self, revision: Revision) -> bool {
         let is_newer =
             self.revision.as_ref().is_none_or(|current| revision.number > current.number);
         if is_newer {
--- a/crates/kitetrail-core/src/evacuation.rs
+++ b/crates/kitetrail-core/src/evacuation.rs
@@ -38,7 +38,11 @@
     }
 
     /// Replaces the state by all requests in force at a store version, and returns the changes.
-    pub fn read(&mut self, known_until: u64, all: Vec<EvacuationChange>) -> Vec<EvacuationChange> {
+    pub fn replace_all(
+        &mut self,
+        known_until: u64,
+        all: Vec<EvacuationChange>,
+    ) -> Vec<EvacuationChange> {
         if known_until < self.known_until {
             return Vec::new();
         }
@@ -46,11 +50,11 @@
         let removed_zones = self.requested.keys().filter(is_removed).cloned().collect::<Vec<_>>();
         let withdrawal = |zone| EvacuationChange { zone, version: known_until, requested: false };
         let changes = removed_zones.into_iter().map(withdrawal).chain(all).collect();
-        self.follow(known_until, changes)
+        self.apply_changes(known_until, changes)
     }
 
     /// Applies changes in order, up to a store version, and returns those that had an effect.
-    pub fn follow(
+    pub fn apply_changes(
         &mut self,
         known_until: u64,
         changes: Vec<EvacuationChange>,
--- a/crates/kitetrail-core/src/fleet_config.rs
+++ b/crates/kitetrail-core/src/fleet_config.rs
@@ -67,7 +67,11 @@
 impl FleetConfig {
     /// Returns the queue with the longest path prefix that matches a host and path, and the rest of the
     /// path.
-    pub fn route<'a, 'p>(&'a self, host: &str, path: &'p str) -> Option<(&'a QueueRoute, &'p str)> {
+    pub fn find_route<'a, 'p>(
+        &'a self,
+        host: &str,
+        path: &'p str,
+    ) -> Option<(&'a QueueRoute, &'p str)> {
         let matching = self.routes.iter().filter_map(|route| {
             let rest = path.strip_prefix(&route.path_prefix)?;
             route.host.eq_ignore_ascii_case(host).then_some((route, rest))
--- a/crates/kitetrail-core/src/ids.rs
+++ b/crates/kitetrail-core/src/ids.rs
@@ -10,12 +10,12 @@
 use thiserror::Error;
 
 /// The maximum length of a name, in characters.
-pub const MAX_ID_LEN: usize = 63;
+pub const MAX_NAME_LEN: usize = 63;
 
 /// A name that does not follow the rules for names.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error(
-    "`{0}` is not a valid name: use 1 to {MAX_ID_LEN} lower-case letters, digits, dots and dashes, starting with a letter or digit"
+    "`{0}` is not a valid name: use 1 to {MAX_NAME_LEN} lower-case letters, digits, dots and dashes, starting with a letter or digit"
 )]
 pub struct InvalidId(pub String);
 
@@ -239,7 +239,7 @@
 
 fn is_valid_name(s: &str) -> bool {
     let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '.';
-    (1..=MAX_ID_LEN).contains(&s.len())
+    (1..=MAX_NAME_LEN).contains(&s.len())
         && s.chars().all(allowed)
         && s.starts_with(|c: char| c.is_ascii_alphanumeric())
 }
--- a/crates/kitetrail-core/src/membership.rs
+++ b/crates/kitetrail-core/src/membership.rs
@@ -2,7 +2,7 @@
 //!
 //! It uses three sources that all lag: heartbeats exchanged by gossip, the box list, and
 //! a box's own announcement that it is leaving. A box is up if its heartbeat advanced
-//! within [`Membership::SUSPECT_AFTER`] and the box list does not show it as dead. A box
+//! within [`Membership::HEARTBEAT_TIMEOUT`] and the box list does not show it as dead. A box
 //! that is leaving stays up but owns no shards.
 
 use std::{
@@ -47,7 +47,7 @@
     /// The latest heartbeat of the box.
     pub heartbeat: Heartbeat,
     /// The local time when the heartbeat last advanced.
-    pub grew_at: Time,
+    pub heartbeat_advanced_at: Time,
 }
 
 /// The local view of the membership.
@@ -61,13 +61,14 @@
 
 impl Membership {
     /// The time after which a box whose heartbeat has not advanced is no longer up.
-    pub const SUSPECT_AFTER: Duration = Duration::from_secs(4);
+    pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 
     /// Creates a view that contains only this box.
     pub fn new(local_id: BoxId, incarnation: u64, seed: u64, now: Time) -> Self {
         let heartbeat =
             Heartbeat { id: local_id.clone(), incarnation, beat: 0, leaving: false, revision: 0 };
-        let members = BTreeMap::from([(local_id.clone(), Member { heartbeat, grew_at: now })]);
+        let members =
+            BTreeMap::from([(local_id.clone(), Member { heartbeat, heartbeat_advanced_at: now })]);
         Self { local_id, listed: BTreeMap::new(), members, rng: ChaCha8Rng::seed_from_u64(seed) }
     }
 
@@ -85,7 +86,8 @@
     pub fn is_up(&self, id: &BoxId, now: Time) -> bool {
         let listed_dead = self.listed.get(id).is_some_and(|info| info.state == Liveness::Dead);
         let is_fresh = |member: &Member| {
-            *id == self.local_id || now.since(member.grew_at) < Self::SUSPECT_AFTER
+            *id == self.local_id
+                || now.since(member.heartbeat_advanced_at) < Self::HEARTBEAT_TIMEOUT
         };
         !listed_dead && self.members.get(id).is_some_and(is_fresh)
     }
@@ -98,7 +100,7 @@
     }
 
     /// Returns the number of boxes that are up, and the index of this box among them, ordered by name.
-    pub fn place(&self, now: Time) -> (u32, u32) {
+    pub fn local_rank(&self, now: Time) -> (u32, u32) {
         let up: Vec<&BoxId> = self.members.keys().filter(|id| self.is_up(id, now)).collect();
         let index = up.iter().position(|id| **id == self.local_id).unwrap_or(0);
         (up.len() as u32, index as u32)
@@ -114,7 +116,11 @@
     /// Boxes with the same view compute the same result. Candidates are ranked by rendezvous
     /// hashing, with boxes in the shard's availability zone first. The highest-ranked box
     /// that does not have its even share of shards yet becomes the preferred owner.
-    pub fn owners(&self, shards: &BTreeSet<ShardId>, now: Time) -> BTreeMap<ShardId, Vec<BoxId>> {
+    pub fn rank_owners(
+        &self,
+        shards: &BTreeSet<ShardId>,
+        now: Time,
+    ) -> BTreeMap<ShardId, Vec<BoxId>> {
         let staying: Vec<&BoxId> =
             self.members.keys().filter(|id| self.is_staying(id, now)).collect();
         let max_load = shards.len().div_ceil(staying.len().max(1));
@@ -139,22 +145,22 @@
     }
 
     /// Replaces the contents of the box list.
-    pub fn set_listed(&mut self, boxes: Vec<BoxInfo>) {
+    pub fn set_box_list(&mut self, boxes: Vec<BoxInfo>) {
         self.listed = boxes.into_iter().map(|info| (info.id.clone(), info)).collect();
     }
 
     /// Starts a gossip round: advances this box's heartbeat and returns the peers to contact.
-    pub fn begin_round(&mut self, leaving: bool, revision: u64, now: Time) -> Vec<BoxInfo> {
+    pub fn start_gossip_round(&mut self, leaving: bool, revision: u64, now: Time) -> Vec<BoxInfo> {
         self.members.retain(|id, member| {
             self.listed.contains_key(id)
-                || now.since(member.grew_at) < UNLISTED_RETENTION
+                || now.since(member.heartbeat_advanced_at) < UNLISTED_RETENTION
                 || *id == self.local_id
         });
         if let Some(member) = self.members.get_mut(&self.local_id) {
             member.heartbeat.beat += 1;
             member.heartbeat.leaving = leaving;
             member.heartbeat.revision = revision;
-            member.grew_at = now;
+            member.heartbeat_advanced_at = now;
         }
         let mut peers: Vec<BoxInfo> = self.peers().cloned().collect();
         peers.shuffle(&mut self.rng);
@@ -171,12 +177,12 @@
             let recency = |heartbeat: &Heartbeat| (heartbeat.incarnation, heartbeat.beat);
             match self.members.get_mut(&heartbeat.id) {
                 Some(member) if recency(&heartbeat) > recency(&member.heartbeat) => {
-                    *member = Member { heartbeat, grew_at: now };
+                    *member = Member { heartbeat, heartbeat_advanced_at: now };
                 }
                 Some(_) => {}
                 None => {
                     let id = heartbeat.id.clone();
-                    self.members.insert(id, Member { heartbeat, grew_at: now });
+                    self.members.insert(id, Member { heartbeat, heartbeat_advanced_at: now });
                 }
             }
         }
--- a/crates/kitetrail-core/src/placement/first_fit.rs
+++ b/crates/kitetrail-core/src/placement/first_fit.rs
@@ -1,6 +1,6 @@
 //! The baseline placer, which ignores interference.
 
-use super::{Band, Candidate, Choice, Placer, PolicyTable};
+use super::{Choice, LoadBand, PlacementCandidate, Placer, PolicyTable};
 use crate::{TaskClass, task::TaskRow, worker::UsageSample};
 
 /// Chooses the first worker with enough free resources and learns nothing.
@@ -10,14 +10,14 @@
 }
 
 impl Placer for FirstFit {
-    fn choose(&self, _task: &TaskRow, candidates: &[Candidate<'_>]) -> Option<Choice> {
+    fn choose(&self, _task: &TaskRow, candidates: &[PlacementCandidate<'_>]) -> Option<Choice> {
         let reason = || "first with room".to_owned();
         (!candidates.is_empty()).then(|| Choice { index: 0, reason: reason() })
     }
 
-    fn observe(&mut self, _sample: &UsageSample, _band: Band) {}
+    fn observe(&mut self, _sample: &UsageSample, _band: LoadBand) {}
 
-    fn blame(&self, _victim: &TaskClass, _beside: &TaskClass, _band: Band) -> f64 {
+    fn expected_effect(&self, _victim: &TaskClass, _beside: &TaskClass, _band: LoadBand) -> f64 {
         0.0
     }
 
--- a/crates/kitetrail-core/src/placement/interference.rs
+++ b/crates/kitetrail-core/src/placement/interference.rs
@@ -16,7 +16,7 @@
 
 /// The load of a worker, in coarse steps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Band {
+pub enum LoadBand {
     /// Less than half of the processors are granted.
     Low,
     /// Less than four fifths of the processors are granted.
@@ -25,14 +25,14 @@
     High,
 }
 
-impl Band {
+impl LoadBand {
     /// Returns the band of a worker with `used` granted.
     pub fn of(used: &Resources, capacity: &Resources) -> Self {
         let (used, capacity) = (u64::from(used.cpu_millis.0), u64::from(capacity.cpu_millis.0));
         match used {
-            _ if used * 10 < capacity * 5 => Band::Low,
-            _ if used * 10 < capacity * 8 => Band::Middle,
-            _ => Band::High,
+            _ if used * 10 < capacity * 5 => LoadBand::Low,
+            _ if used * 10 < capacity * 8 => LoadBand::Middle,
+            _ => LoadBand::High,
         }
     }
 }
@@ -81,13 +81,13 @@
 
 impl InterferenceModel {
     /// Returns the estimated effect of `beside` on `victim`.
-    pub fn estimate(&self, victim: &TaskClass, beside: &TaskClass, band: Band) -> Estimate {
+    pub fn estimate(&self, victim: &TaskClass, beside: &TaskClass, band: LoadBand) -> Estimate {
         let known = self.pairs.get(victim).and_then(|effects| effects.get(beside));
         known.and_then(|bands| bands[band as usize]).unwrap_or(Estimate::PRIOR)
     }
 
     /// Returns the expected slowdown factor of `victim` beside the given tasks. 1.0 means none.
-    pub fn expected(&self, victim: &TaskClass, beside: &[TaskClass], band: Band) -> f64 {
+    pub fn expected(&self, victim: &TaskClass, beside: &[TaskClass], band: LoadBand) -> f64 {
         let effects = beside.iter().map(|other| self.estimate(victim, other, band).effect);
         1.0 + effects.sum::<f64>()
     }
@@ -97,7 +97,7 @@
     /// The prediction error is divided among the neighbouring classes in proportion to their
     /// numbers of tasks (normalised least mean squares). Over samples with different
     /// neighbours, each class converges to its own effect.
-    pub fn observe(&mut self, sample: &UsageSample, band: Band) {
+    pub fn observe(&mut self, sample: &UsageSample, band: LoadBand) {
         if sample.beside.is_empty() || !sample.slowdown.is_finite() {
             return;
         }
--- a/crates/kitetrail-core/src/placement/interference_aware.rs
+++ b/crates/kitetrail-core/src/placement/interference_aware.rs
@@ -2,10 +2,10 @@
 
 use std::cmp::Ordering;
 
-use super::{Band, Candidate, Choice, InterferenceModel, Placer, PolicyTable};
+use super::{Choice, InterferenceModel, LoadBand, PlacementCandidate, Placer, PolicyTable};
 use crate::{
     TaskClass,
-    task::{Kind, TaskRow},
+    task::{SpecKind, TaskRow},
     worker::UsageSample,
 };
 
@@ -34,13 +34,13 @@
     }
 
     /// Returns the cost of a task on a candidate, or `None` if the policy excludes the candidate.
-    fn cost(&self, task: &TaskRow, candidate: &Candidate<'_>) -> Option<f64> {
+    fn cost(&self, task: &TaskRow, candidate: &PlacementCandidate<'_>) -> Option<f64> {
         let class = &task.spec.class;
         if candidate.classes.keys().any(|other| !self.policy.may_share(class, other)) {
             return None;
         }
         let used = candidate.capacity.checked_sub(&candidate.free).unwrap_or_default();
-        let band = Band::of(&used.saturating_add(&task.spec.size), &candidate.capacity);
+        let band = LoadBand::of(&used.saturating_add(&task.spec.size), &candidate.capacity);
         if candidate.classes.iter().any(|(victim, count)| {
             self.would_exceed_slowdown(task, victim, count.kind, candidate, band)
         }) {
@@ -53,11 +53,11 @@
         });
         // Replicas of a service are spread over workers and racks; tasks of a job need not be.
         let spread = match task.spec.kind {
-            Kind::Service => {
+            SpecKind::Service => {
                 f64::from(candidate.siblings_on_worker) * SAME_WORKER_COST
                     + f64::from(candidate.siblings_in_rack) * SAME_RACK_COST
             }
-            Kind::Job | Kind::Watcher => 0.0,
+            SpecKind::Job | SpecKind::Watcher => 0.0,
         };
         Some(harm.sum::<f64>() + spread - PACKING_WEIGHT * load(candidate))
     }
@@ -68,9 +68,9 @@
         &self,
         task: &TaskRow,
         victim: &TaskClass,
-        kind: Kind,
-        candidate: &Candidate<'_>,
-        band: Band,
+        kind: SpecKind,
+        candidate: &PlacementCandidate<'_>,
+        band: LoadBand,
     ) -> bool {
         let rule = self.policy.rule(victim, kind);
         let new = self.model.estimate(victim, &task.spec.class, band);
@@ -87,13 +87,15 @@
 
     /// Returns the harm that a task of class `beside` is expected to do to one of class
     /// `victim`: the slowdown, weighted by the victim's rank in the policy.
-    fn harm(&self, kind: Kind, victim: &TaskClass, beside: &TaskClass, band: Band) -> f64 {
+    fn harm(&self, kind: SpecKind, victim: &TaskClass, beside: &TaskClass, band: LoadBand) -> f64 {
         let estimate = self.model.estimate(victim, beside, band);
         // Uncertainty counts only against neighbours of services, so that unknown pairs are
         // measured beside batch work.
         let (weight, risk) = match kind {
-            Kind::Service => (self.policy.tail_weight, UNCERTAINTY_WEIGHT * estimate.uncertainty()),
-            Kind::Job | Kind::Watcher => (1.0 - self.policy.tail_weight, 0.0),
+            SpecKind::Service => {
+                (self.policy.tail_weight, UNCERTAINTY_WEIGHT * estimate.uncertainty())
+            }
+            SpecKind::Job | SpecKind::Watcher => (1.0 - self.policy.tail_weight, 0.0),
         };
         let importance = f64::from(self.policy.rule(victim, kind).rank) / FULL_WEIGHT_RANK;
         weight * importance * (estimate.effect + risk)
@@ -101,7 +103,7 @@
 }
 
 impl Placer for InterferenceAware {
-    fn choose(&self, task: &TaskRow, candidates: &[Candidate<'_>]) -> Option<Choice> {
+    fn choose(&self, task: &TaskRow, candidates: &[PlacementCandidate<'_>]) -> Option<Choice> {
         let costs = candidates
             .iter()
             .enumerate()
@@ -111,11 +113,11 @@
         Some(Choice { index, reason: format!("least expected harm, cost {cost:.2}") })
     }
 
-    fn observe(&mut self, sample: &UsageSample, band: Band) {
+    fn observe(&mut self, sample: &UsageSample, band: LoadBand) {
         self.model.observe(sample, band);
     }
 
-    fn blame(&self, victim: &TaskClass, beside: &TaskClass, band: Band) -> f64 {
+    fn expected_effect(&self, victim: &TaskClass, beside: &TaskClass, band: LoadBand) -> f64 {
         self.model.estimate(victim, beside, band).effect
     }
 
@@ -129,7 +131,7 @@
 }
 
 /// Returns the share of a worker's processors that is granted, from 0.0 to 1.0.
-fn load(candidate: &Candidate<'_>) -> f64 {
+fn load(candidate: &PlacementCandidate<'_>) -> f64 {
     let capacity = f64::from(candidate.capacity.cpu_millis.0.max(1));
     1.0 - f64::from(candidate.free.cpu_millis.0) / capacity
 }
--- a/crates/kitetrail-core/src/placement/mod.rs
+++ b/crates/kitetrail-core/src/placement/mod.rs
@@ -7,22 +7,22 @@
 mod relief;
 
 pub use first_fit::FirstFit;
-pub use interference::{Band, Estimate, InterferenceModel};
+pub use interference::{Estimate, InterferenceModel, LoadBand};
 pub use interference_aware::InterferenceAware;
-pub use policy_table::{ClassRule, PolicyTable, Sacrifice};
+pub use policy_table::{AllowedRelief, ClassRule, PolicyTable};
 pub use relief::{ReliefSettings, ReliefState, ReliefStep, Resident};
 
 use std::collections::BTreeMap;
 
 use crate::{
     Resources, TaskClass, WorkerId,
-    task::{Kind, TaskRow},
+    task::{SpecKind, TaskRow},
     worker::UsageSample,
 };
 
 /// A worker that has enough free resources for a task.
 #[derive(Debug, Clone)]
-pub struct Candidate<'a> {
+pub struct PlacementCandidate<'a> {
     /// The worker.
     pub worker: &'a WorkerId,
     /// The capacity of the worker.
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClassCount {
     /// The kind of the tasks.
-    pub kind: Kind,
+    pub kind: SpecKind,
     /// The number of tasks.
     pub tasks: u32,
 }
@@ -60,13 +60,13 @@
 /// All candidates have enough free resources; a placer only ranks them.
 pub trait Placer {
     /// Returns the best candidate for a task, or `None` if the task should wait.
-    fn choose(&self, task: &TaskRow, candidates: &[Candidate<'_>]) -> Option<Choice>;
+    fn choose(&self, task: &TaskRow, candidates: &[PlacementCandidate<'_>]) -> Option<Choice>;
 
     /// Learns from a sample that was taken at the given load.
-    fn observe(&mut self, sample: &UsageSample, band: Band);
+    fn observe(&mut self, sample: &UsageSample, band: LoadBand);
 
     /// Returns the slowdown that `beside` is expected to cause to `victim` at the given load.
-    fn blame(&self, victim: &TaskClass, beside: &TaskClass, band: Band) -> f64;
+    fn expected_effect(&self, victim: &TaskClass, beside: &TaskClass, band: LoadBand) -> f64;
 
     /// Replaces the policy.
     fn set_policy(&mut self, policy: PolicyTable);
--- a/crates/kitetrail-core/src/placement/policy_table.rs
+++ b/crates/kitetrail-core/src/placement/policy_table.rs
@@ -4,12 +4,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Resources, TaskClass, TeamId, task::Kind};
+use crate::{Resources, TaskClass, TeamId, task::SpecKind};
 
 /// What may be done to the tasks of a class when services on their worker are too slow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Sacrifice {
+pub enum AllowedRelief {
     /// Nothing.
     Never,
     /// The tasks may be slowed down.
@@ -24,7 +24,7 @@
     /// The importance of the class. Higher ranks go first.
     pub rank: u8,
     /// What may be done to tasks of the class for classes of higher rank.
-    pub sacrifice: Sacrifice,
+    pub sacrifice: AllowedRelief,
     /// The slowdown factor above which tasks of lower rank are throttled or evicted for the
     /// class. 1.0 means no slowdown.
     pub max_slowdown: f64,
@@ -32,11 +32,17 @@
 
 impl ClassRule {
     /// Returns the rule of a class that the policy does not define.
-    pub fn default_of(kind: Kind) -> Self {
+    pub fn default_for(kind: SpecKind) -> Self {
         match kind {
-            Kind::Service => Self { rank: 100, sacrifice: Sacrifice::Never, max_slowdown: 1.3 },
-            Kind::Watcher => Self { rank: 50, sacrifice: Sacrifice::Throttle, max_slowdown: 3.0 },
-            Kind::Job => Self { rank: 10, sacrifice: Sacrifice::Evict, max_slowdown: 100.0 },
+            SpecKind::Service => {
+                Self { rank: 100, sacrifice: AllowedRelief::Never, max_slowdown: 1.3 }
+            }
+            SpecKind::Watcher => {
+                Self { rank: 50, sacrifice: AllowedRelief::Throttle, max_slowdown: 3.0 }
+            }
+            SpecKind::Job => {
+                Self { rank: 10, sacrifice: AllowedRelief::Evict, max_slowdown: 100.0 }
+            }
         }
     }
 }
@@ -58,8 +64,8 @@
 
 impl PolicyTable {
     /// Returns the rule of a class.
-    pub fn rule(&self, class: &TaskClass, kind: Kind) -> ClassRule {
-        self.rules.get(class).cloned().unwrap_or_else(|| ClassRule::default_of(kind))
+    pub fn rule(&self, class: &TaskClass, kind: SpecKind) -> ClassRule {
+        self.rules.get(class).cloned().unwrap_or_else(|| ClassRule::default_for(kind))
     }
 
     /// Returns whether two classes may share a worker.
--- a/crates/kitetrail-core/src/placement/relief.rs
+++ b/crates/kitetrail-core/src/placement/relief.rs
@@ -4,8 +4,8 @@
 
 use bon::Builder;
 
-use super::{Band, Placer, Sacrifice};
-use crate::{Attempt, TaskClass, TaskId, Time, task::Kind, worker::Want};
+use super::{AllowedRelief, LoadBand, Placer};
+use crate::{Attempt, TaskClass, TaskId, Time, task::SpecKind, worker::DesiredState};
 
 /// The share of a task's effect on others that is removed by throttling it.
 const THROTTLE_RELIEF: f64 = 0.7;
@@ -45,11 +45,11 @@
     /// The run.
     pub attempt: Attempt,
     /// The kind of the task.
-    pub kind: Kind,
+    pub kind: SpecKind,
     /// The class of the task.
     pub class: TaskClass,
     /// The state that the owner currently requests of the run.
-    pub want: Want,
+    pub want: DesiredState,
     /// The work that an eviction would lose, in milliseconds.
     pub unsaved_ms: u64,
 }
@@ -62,11 +62,11 @@
     /// The run.
     pub attempt: Attempt,
     /// The new requested state.
-    pub want: Want,
+    pub want: DesiredState,
 }
 
 impl ReliefStep {
-    fn new(resident: &Resident, want: Want) -> Self {
+    fn new(resident: &Resident, want: DesiredState) -> Self {
         Self { task: resident.task.clone(), attempt: resident.attempt, want }
     }
 }
@@ -107,7 +107,7 @@
         placer: &P,
         settings: &ReliefSettings,
         residents: &[Resident],
-        band: Band,
+        band: LoadBand,
         now: Time,
     ) -> Vec<ReliefStep> {
         if !settings.enabled {
@@ -163,9 +163,10 @@
         if now.since(calm_since) < settings.lift_delay {
             return None;
         }
-        let throttled = residents.iter().find(|resident| resident.want == Want::Throttle)?;
+        let throttled =
+            residents.iter().find(|resident| resident.want == DesiredState::Throttle)?;
         self.calm_since = Some(now);
-        Some(ReliefStep::new(throttled, Want::Run))
+        Some(ReliefStep::new(throttled, DesiredState::Run))
     }
 }
 
@@ -175,34 +176,41 @@
     placer: &P,
     residents: &[Resident],
     pressure: &Pressure,
-    band: Band,
+    band: LoadBand,
 ) -> Vec<ReliefStep> {
     let victim = &pressure.victim;
-    let allows = |resident: &Resident, sacrifice: Sacrifice| {
+    let allows = |resident: &Resident, sacrifice: AllowedRelief| {
         let rule = placer.policy().rule(&resident.class, resident.kind);
         resident.class != *victim && rule.rank < pressure.rank && rule.sacrifice >= sacrifice
     };
-    let blame = |resident: &Resident| placer.blame(victim, &resident.class, band);
+    let expected_effect =
+        |resident: &Resident| placer.expected_effect(victim, &resident.class, band);
     let mut eligible: Vec<&Resident> = residents
         .iter()
-        .filter(|resident| resident.want == Want::Run && allows(resident, Sacrifice::Throttle))
+        .filter(|resident| {
+            resident.want == DesiredState::Run && allows(resident, AllowedRelief::Throttle)
+        })
         .collect();
-    eligible.sort_by(|a, b| blame(b).total_cmp(&blame(a)).then(a.unsaved_ms.cmp(&b.unsaved_ms)));
+    eligible.sort_by(|a, b| {
+        expected_effect(b).total_cmp(&expected_effect(a)).then(a.unsaved_ms.cmp(&b.unsaved_ms))
+    });
     if !eligible.is_empty() {
-        let relief = |resident: &Resident| blame(resident) * THROTTLE_RELIEF;
-        return steps_to_cover(&eligible, pressure.excess, relief, Want::Throttle);
+        let relief = |resident: &Resident| expected_effect(resident) * THROTTLE_RELIEF;
+        return steps_to_cover(&eligible, pressure.excess, relief, DesiredState::Throttle);
     }
     eligible = residents
         .iter()
-        .filter(|resident| resident.want == Want::Throttle && allows(resident, Sacrifice::Evict))
+        .filter(|resident| {
+            resident.want == DesiredState::Throttle && allows(resident, AllowedRelief::Evict)
+        })
         .collect();
     let cost = |resident: &Resident| eviction_cost(placer, victim, resident, band);
     eligible.sort_by(|a, b| cost(a).total_cmp(&cost(b)));
     steps_to_cover(
         &eligible,
         pressure.excess,
-        |resident| blame(resident) * (1.0 - THROTTLE_RELIEF),
-        Want::Checkpoint,
+        |resident| expected_effect(resident) * (1.0 - THROTTLE_RELIEF),
+        DesiredState::Checkpoint,
     )
 }
 
@@ -212,7 +220,7 @@
     eligible: &[&Resident],
     excess: f64,
     relief: impl Fn(&Resident) -> f64,
-    want: Want,
+    want: DesiredState,
 ) -> Vec<ReliefStep> {
     let mut covered = 0.0;
     let mut steps = Vec::new();
@@ -231,8 +239,8 @@
     placer: &P,
     victim: &TaskClass,
     resident: &Resident,
-    band: Band,
+    band: LoadBand,
 ) -> f64 {
-    let relief = placer.blame(victim, &resident.class, band).max(0.01);
+    let relief = placer.expected_effect(victim, &resident.class, band).max(0.01);
     (resident.unsaved_ms as f64 + 1.0) / relief
 }
--- a/crates/kitetrail-core/src/routing/mod.rs
+++ b/crates/kitetrail-core/src/routing/mod.rs
@@ -11,6 +11,8 @@
 
 pub use balancer::{Balancer, PowerOfTwo, RoundRobin};
 pub use endpoint::{EndpointId, EndpointState};
-pub use request::{Arrival, Exchange, GivenUp, Outcome, Reason, RequestNumber, Verdict};
+pub use request::{
+    Exchange, IncomingRequest, Outcome, Rejection, RejectionReason, RequestId, RoutingDecision,
+};
 pub use router::{Router, ServiceView};
 pub use settings::RouterSettings;
--- a/crates/kitetrail-core/src/routing/queue.rs
+++ b/crates/kitetrail-core/src/routing/queue.rs
@@ -2,14 +2,14 @@
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
-use super::RequestNumber;
+use super::RequestId;
 use crate::Time;
 
 /// A queued request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct QueuedRequest {
     /// The request.
-    pub number: RequestNumber,
+    pub number: RequestId,
     /// The time until which the request may wait.
     pub wait_deadline: Time,
 }
@@ -74,7 +74,7 @@
     }
 
     /// Removes a request.
-    pub fn remove(&mut self, number: RequestNumber) {
+    pub fn remove(&mut self, number: RequestId) {
         self.waiting.retain(|_, waiting| waiting.number != number);
     }
 }
--- a/crates/kitetrail-core/src/routing/request.rs
+++ b/crates/kitetrail-core/src/routing/request.rs
@@ -10,13 +10,13 @@
 
 /// The number of a request within one process of a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RequestNumber(pub u64);
+pub struct RequestId(pub u64);
 
 /// A newly received request.
 #[derive(Debug, Clone)]
-pub struct Arrival {
+pub struct IncomingRequest {
     /// The number of the request.
-    pub number: RequestNumber,
+    pub number: RequestId,
     /// The service that the request calls.
     pub service: SpecName,
     /// Whether the request may safely run more than once.
@@ -50,7 +50,7 @@
 
 /// The reason for rejecting a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum RejectionReason {
     /// The service has no endpoint.
     NoEndpoint,
     /// The request would not have been served in time.
@@ -63,40 +63,40 @@
     Lost,
 }
 
-impl Display for Reason {
+impl Display for RejectionReason {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Reason::NoEndpoint => "no endpoint",
-            Reason::Overload => "overload",
-            Reason::Deadline => "deadline passed",
-            Reason::Refused => "refused by endpoints",
-            Reason::Lost => "exchange with the endpoint broke off",
+            RejectionReason::NoEndpoint => "no endpoint",
+            RejectionReason::Overload => "overload",
+            RejectionReason::Deadline => "deadline passed",
+            RejectionReason::Refused => "refused by endpoints",
+            RejectionReason::Lost => "exchange with the endpoint broke off",
         })
     }
 }
 
 /// The final answer to a rejected request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct GivenUp {
+pub struct Rejection {
     /// What the caller may conclude.
     pub outcome: Outcome,
     /// The reason.
-    pub reason: Reason,
+    pub reason: RejectionReason,
     /// The time after which the caller should retry.
     pub retry_after: Duration,
 }
 
 /// The next action for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RoutingDecision {
     /// Send the request to an endpoint.
     Send(EndpointId),
     /// Hold the request until [`Router::take_ready`](super::Router::take_ready) returns it.
     Wait,
     /// Reject the request with this answer.
-    GiveUp(GivenUp),
+    Reject(Rejection),
     /// Forward the endpoint's answer.
-    Deliver,
+    Forward,
 }
 
 /// The result of an exchange with an endpoint.
--- a/crates/kitetrail-core/src/routing/router.rs
+++ b/crates/kitetrail-core/src/routing/router.rs
@@ -13,8 +13,9 @@
 use serde::Serialize;
 
 use super::{
-    Arrival, Balancer, EndpointId, EndpointState, Exchange, GivenUp, Outcome, Reason,
-    RequestNumber, RouterSettings, Verdict, queue::QueuedRequest, service::Service,
+    Balancer, EndpointId, EndpointState, Exchange, IncomingRequest, Outcome, Rejection,
+    RejectionReason, RequestId, RouterSettings, RoutingDecision, queue::QueuedRequest,
+    service::Service,
 };
 use crate::{
     Epoch, ShardId, SpecName, Time, WorkerId,
@@ -24,7 +25,7 @@
 /// The time after which a caller should retry a request to a service without endpoints.
 const NO_ENDPOINT_RETRY: Duration = Duration::from_secs(1);
 
-/// The state machine that routes the requests of one box: `(state, event, now) -> verdict`.
+/// The state machine that routes the requests of one box: `(state, event, now) -> decision`.
 #[derive(Debug)]
 pub struct Router<B> {
     settings: RouterSettings,
@@ -37,7 +38,7 @@
     services: HashMap<SpecName, Service>,
     endpoints: Vec<EndpointState>,
     by_address: HashMap<(SpecName, SocketAddr), EndpointId>,
-    requests: HashMap<RequestNumber, Request>,
+    requests: HashMap<RequestId, Request>,
 }
 
 #[derive(Debug)]
@@ -49,7 +50,7 @@
 
 #[derive(Debug)]
 struct Request {
-    arrival: Arrival,
+    incoming: IncomingRequest,
     sends: u32,
     sent_at: Time,
     tried: Vec<EndpointId>,
@@ -96,17 +97,17 @@
     }
 
     /// Returns the number of connections that this box may open to one endpoint.
-    pub fn connection_share(&self) -> u32 {
+    pub fn max_idle_connections(&self) -> u32 {
         (self.settings.connections_per_endpoint / self.boxes.max(1)).max(1)
     }
 
     /// Returns the number of requests that are queued or in flight.
-    pub fn requests(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.requests.len()
     }
 
     /// Returns a summary of each service, ordered by name.
-    pub fn views(&self, now: Time) -> Vec<ServiceView> {
+    pub fn service_views(&self, now: Time) -> Vec<ServiceView> {
         let mut views: Vec<ServiceView> = self
             .services
             .iter()
@@ -123,7 +124,7 @@
     }
 
     /// Returns the newest known endpoint set of each shard.
-    pub fn sets(&self) -> Vec<EndpointSet> {
+    pub fn endpoint_sets(&self) -> Vec<EndpointSet> {
         let sets = self.sets.iter().map(|(shard, known)| EndpointSet {
             shard: shard.clone(),
             epoch: known.epoch,
@@ -134,71 +135,85 @@
     }
 
     /// Handles a new request.
-    pub fn offer(&mut self, arrival: Arrival, now: Time) -> Verdict {
-        let Some(service) = self.services.get(&arrival.service) else {
+    pub fn route(&mut self, incoming: IncomingRequest, now: Time) -> RoutingDecision {
+        let Some(service) = self.services.get(&incoming.service) else {
             return no_endpoint();
         };
         if service.endpoint_count() == 0 {
             return no_endpoint();
         }
-        if arrival.deadline <= now {
-            return Verdict::GiveUp(GivenUp {
+        if incoming.deadline <= now {
+            return RoutingDecision::Reject(Rejection {
                 outcome: Outcome::NotRun,
-                reason: Reason::Deadline,
+                reason: RejectionReason::Deadline,
                 retry_after: service.retry_after(),
             });
         }
-        let number = arrival.number;
+        let number = incoming.number;
         let request =
-            Request { arrival, sends: 0, sent_at: now, tried: Vec::new(), may_have_run: false };
+            Request { incoming, sends: 0, sent_at: now, tried: Vec::new(), may_have_run: false };
         self.requests.insert(number, request);
         self.admit(number, now)
     }
 
     /// Handles the end of an exchange, which frees its slot.
-    pub fn finish(
+    pub fn on_exchange_end(
         &mut self,
-        number: RequestNumber,
+        number: RequestId,
         endpoint: EndpointId,
         exchange: Exchange,
         now: Time,
-    ) -> Verdict {
-        let Some(request) = self.requests.get_mut(&number) else { return Verdict::Deliver };
+    ) -> RoutingDecision {
+        let Some(request) = self.requests.get_mut(&number) else { return RoutingDecision::Forward };
         let latency = now.since(request.sent_at);
         request.may_have_run |= exchange == Exchange::Lost;
-        let service_name = request.arrival.service.clone();
+        let service_name = request.incoming.service.clone();
         self.record_exchange(&service_name, endpoint, exchange, latency, now);
         match exchange {
             Exchange::Answered | Exchange::Failed => {
                 self.requests.remove(&number);
-                Verdict::Deliver
+                RoutingDecision::Forward
+            }
+            Exchange::Refused | Exchange::NotSent => {
+                self.resend(number, RejectionReason::Refused, now)
+            }
+            Exchange::Lost | Exchange::CallerDisconnected => {
+                self.resend(number, RejectionReason::Lost, now)
             }
-            Exchange::Refused | Exchange::NotSent => self.resend(number, Reason::Refused, now),
-            Exchange::Lost | Exchange::CallerDisconnected => self.resend(number, Reason::Lost, now),
         }
     }
 
     /// Rejects a request whose deadline passed during its exchange with `endpoint`.
-    pub fn time_out(&mut self, number: RequestNumber, endpoint: EndpointId, now: Time) -> GivenUp {
+    pub fn reject_in_flight(
+        &mut self,
+        number: RequestId,
+        endpoint: EndpointId,
+        now: Time,
+    ) -> Rejection {
         let retry_after = self.drop_request(number, Some(endpoint), Exchange::Lost, now);
-        GivenUp { outcome: Outcome::Unknown, reason: Reason::Deadline, retry_after }
+        Rejection { outcome: Outcome::Unknown, reason: RejectionReason::Deadline, retry_after }
     }
 
     /// Drops a request whose caller disconnected.
-    pub fn abandon(&mut self, number: RequestNumber, endpoint: Option<EndpointId>, now: Time) {
+    pub fn drop_disconnected(
+        &mut self,
+        number: RequestId,
+        endpoint: Option<EndpointId>,
+        now: Time,
+    ) {
         self.drop_request(number, endpoint, Exchange::CallerDisconnected, now);
     }
 
     /// Removes a request. Returns the time after which a similar request should be retried.
     fn drop_request(
         &mut self,
-        number: RequestNumber,
+        number: RequestId,
         endpoint: Option<EndpointId>,
         exchange: Exchange,
         now: Time,
     ) -> Duration {
         let Some(request) = self.requests.remove(&number) else { return NO_ENDPOINT_RETRY };
-        let name = &request.arrival.service;
+        let name = &request.incoming.service;
         if let Some(endpoint) = endpoint {
             let latency = now.since(request.sent_at);
             self.record_exchange(name, endpoint, exchange, latency, now);
@@ -209,7 +224,7 @@
     }
 
     /// Removes the requests from the queues that can be sent now, and returns them.
-    pub fn take_ready(&mut self, now: Time) -> Vec<(RequestNumber, EndpointId)> {
+    pub fn take_ready(&mut self, now: Time) -> Vec<(RequestId, EndpointId)> {
         let mut ready = Vec::new();
         let waiting: Vec<SpecName> = self
             .services
@@ -229,22 +244,22 @@
     }
 
     /// Removes the requests whose wait is over, and returns them with their final answers.
-    pub fn expire(&mut self, now: Time) -> Vec<(RequestNumber, GivenUp)> {
-        let mut given_up = Vec::new();
+    pub fn reject_expired(&mut self, now: Time) -> Vec<(RequestId, Rejection)> {
+        let mut rejection = Vec::new();
         for service in self.services.values_mut() {
             service.update_rate(now);
             for waiting in service.queue.expire(now) {
                 service.record_rejection(now);
-                given_up.push((waiting.number, service.retry_after()));
+                rejection.push((waiting.number, service.retry_after()));
             }
         }
-        given_up
+        rejection
             .into_iter()
             .filter_map(|(number, retry_after)| {
                 let request = self.requests.remove(&number)?;
-                let reason = match request.arrival.deadline <= now {
-                    true => Reason::Deadline,
-                    false => Reason::Overload,
+                let reason = match request.incoming.deadline <= now {
+                    true => RejectionReason::Deadline,
+                    false => RejectionReason::Overload,
                 };
                 Some((number, request.reject(reason, retry_after)))
             })
@@ -252,7 +267,7 @@
     }
 
     /// Removes the least important request from a service's queue if its rank is below `rank`.
-    fn displace(&mut self, service: &SpecName, rank: u8, now: Time) -> Option<RequestNumber> {
+    fn displace(&mut self, service: &SpecName, rank: u8, now: Time) -> Option<RequestId> {
         let service = self.services.get_mut(service)?;
         let displaced = service.queue.pop_below(rank)?;
         service.record_rejection(now);
@@ -260,82 +275,84 @@
     }
 
     /// Sends a request at once, queues it, or rejects it.
-    fn admit(&mut self, number: RequestNumber, now: Time) -> Verdict {
-        let Some(request) = self.requests.get(&number) else { return Verdict::Deliver };
-        let arrival = request.arrival.clone();
+    fn admit(&mut self, number: RequestId, now: Time) -> RoutingDecision {
+        let Some(request) = self.requests.get(&number) else { return RoutingDecision::Forward };
+        let incoming = request.incoming.clone();
         let tried = request.tried.clone();
         let must_queue = self.settings.limits
-            && self.services.get(&arrival.service).is_some_and(|service| {
-                !service.queue.is_empty() && service.queue.ahead_of(arrival.rank) > 0
+            && self.services.get(&incoming.service).is_some_and(|service| {
+                !service.queue.is_empty() && service.queue.ahead_of(incoming.rank) > 0
             });
-        if !must_queue && let Some(endpoint) = self.pick(&arrival.service, &tried, now) {
+        if !must_queue && let Some(endpoint) = self.pick(&incoming.service, &tried, now) {
             self.record_send(number, endpoint, now);
-            return Verdict::Send(endpoint);
+            return RoutingDecision::Send(endpoint);
         }
-        self.enqueue(&arrival, now)
+        self.enqueue(&incoming, now)
     }
 
-    fn enqueue(&mut self, arrival: &Arrival, now: Time) -> Verdict {
+    fn enqueue(&mut self, incoming: &IncomingRequest, now: Time) -> RoutingDecision {
         let settings = &self.settings;
-        let Some(service) = self.services.get_mut(&arrival.service) else {
-            return self.reject(arrival.number, Reason::NoEndpoint, now);
+        let Some(service) = self.services.get_mut(&incoming.service) else {
+            return self.reject(incoming.number, RejectionReason::NoEndpoint, now);
         };
         let allowed = service.allowed_wait(settings.max_queue_wait);
-        let wait = service.expected_wait(service.queue.ahead_of(arrival.rank));
-        let left = arrival.deadline.since(now);
+        let wait = service.expected_wait(service.queue.ahead_of(incoming.rank));
+        let left = incoming.deadline.since(now);
         if wait > left.min(allowed) {
-            return self.reject(arrival.number, Reason::Overload, now);
+            return self.reject(incoming.number, RejectionReason::Overload, now);
         }
-        let wait_deadline = (now + allowed).min(arrival.deadline);
+        let wait_deadline = (now + allowed).min(incoming.deadline);
         let full = service.queue.len() >= settings.max_queued;
-        service.queue.push(arrival.rank, QueuedRequest { number: arrival.number, wait_deadline });
+        service.queue.push(incoming.rank, QueuedRequest { number: incoming.number, wait_deadline });
         if !full {
-            return Verdict::Wait;
+            return RoutingDecision::Wait;
         }
-        match self.displace(&arrival.service, u8::MAX, now) {
-            Some(number) if number == arrival.number => self.reject(number, Reason::Overload, now),
+        match self.displace(&incoming.service, u8::MAX, now) {
+            Some(number) if number == incoming.number => {
+                self.reject(number, RejectionReason::Overload, now)
+            }
             Some(number) => {
-                self.expire_now(number, arrival, now);
-                Verdict::Wait
+                self.expire_now(number, incoming, now);
+                RoutingDecision::Wait
             }
-            None => Verdict::Wait,
+            None => RoutingDecision::Wait,
         }
     }
 
     /// Queues a displaced request again with an expired wait, so that the next
     /// [`Router::expire`] answers it.
-    fn expire_now(&mut self, number: RequestNumber, arrival: &Arrival, now: Time) {
-        if let Some(service) = self.services.get_mut(&arrival.service) {
+    fn expire_now(&mut self, number: RequestId, incoming: &IncomingRequest, now: Time) {
+        if let Some(service) = self.services.get_mut(&incoming.service) {
             service.queue.push(0, QueuedRequest { number, wait_deadline: now });
         }
     }
 
     /// Resends a request if that is safe and within the retry budget, or rejects it.
-    fn resend(&mut self, number: RequestNumber, reason: Reason, now: Time) -> Verdict {
-        let Some(request) = self.requests.get(&number) else { return Verdict::Deliver };
-        let arrival = &request.arrival;
-        let safe = arrival.repeatable || !request.may_have_run;
-        let before_deadline = now < arrival.deadline;
+    fn resend(&mut self, number: RequestId, reason: RejectionReason, now: Time) -> RoutingDecision {
+        let Some(request) = self.requests.get(&number) else { return RoutingDecision::Forward };
+        let incoming = &request.incoming;
+        let safe = incoming.repeatable || !request.may_have_run;
+        let before_deadline = now < incoming.deadline;
         let sends_left = request.sends < self.settings.max_sends;
-        let service = self.services.get_mut(&arrival.service);
+        let service = self.services.get_mut(&incoming.service);
         let try_withdraw_retry = || service.is_some_and(|service| service.budget.try_withdraw());
         match safe && sends_left {
-            true if !before_deadline => self.reject(number, Reason::Deadline, now),
+            true if !before_deadline => self.reject(number, RejectionReason::Deadline, now),
             true if try_withdraw_retry() => self.admit(number, now),
             _ => self.reject(number, reason, now),
         }
     }
 
-    fn reject(&mut self, number: RequestNumber, reason: Reason, now: Time) -> Verdict {
+    fn reject(&mut self, number: RequestId, reason: RejectionReason, now: Time) -> RoutingDecision {
         let Some(request) = self.requests.remove(&number) else { return no_endpoint() };
-        let retry_after = match self.services.get_mut(&request.arrival.service) {
+        let retry_after = match self.services.get_mut(&request.incoming.service) {
             Some(service) => {
                 service.record_rejection(now);
                 service.retry_after()
             }
             None => NO_ENDPOINT_RETRY,
         };
-        Verdict::GiveUp(request.reject(reason, retry_after))
+        RoutingDecision::Reject(request.reject(reason, retry_after))
     }
 
     /// Chooses an endpoint with capacity. Endpoints in this box's availability zone are
@@ -371,13 +388,13 @@
         }
     }
 
-    fn record_send(&mut self, number: RequestNumber, endpoint: EndpointId, now: Time) {
+    fn record_send(&mut self, number: RequestId, endpoint: EndpointId, now: Time) {
         let Some(request) = self.requests.get_mut(&number) else { return };
         request.sends += 1;
         request.sent_at = now;
         request.tried.push(endpoint);
         self.endpoints[endpoint.0].record_sent();
-        if let Some(service) = self.services.get_mut(&request.arrival.service) {
+        if let Some(service) = self.services.get_mut(&request.incoming.service) {
             service.outstanding += 1;
             if request.sends == 1 {
                 service.budget.record_first_send();
@@ -393,7 +410,7 @@
         latency: Duration,
         now: Time,
     ) {
-        let ceiling = f64::from(self.connection_share());
+        let ceiling = f64::from(self.max_idle_connections());
         let state = &mut self.endpoints[endpoint.0];
         state.record_finished();
         let eject = match exchange {
@@ -436,16 +453,16 @@
 }
 
 impl Request {
-    fn reject(&self, reason: Reason, retry_after: Duration) -> GivenUp {
+    fn reject(&self, reason: RejectionReason, retry_after: Duration) -> Rejection {
         let outcome = if self.may_have_run { Outcome::Unknown } else { Outcome::NotRun };
-        GivenUp { outcome, reason, retry_after }
+        Rejection { outcome, reason, retry_after }
     }
 }
 
-fn no_endpoint() -> Verdict {
-    Verdict::GiveUp(GivenUp {
+fn no_endpoint() -> RoutingDecision {
+    RoutingDecision::Reject(Rejection {
         outcome: Outcome::NotRun,
-        reason: Reason::NoEndpoint,
+        reason: RejectionReason::NoEndpoint,
         retry_after: NO_ENDPOINT_RETRY,
     })
 }
--- a/crates/kitetrail-core/src/routing/router/endpoints.rs
+++ b/crates/kitetrail-core/src/routing/router/endpoints.rs
@@ -26,7 +26,7 @@
     fn set_share(&mut self, id: EndpointId) {
         let share = self.share_of(id);
         let slots = f64::from(self.settings.slots_per_endpoint);
-        let ceiling = f64::from(self.connection_share());
+        let ceiling = f64::from(self.max_idle_connections());
         self.endpoints[id.0].set_share(share, slots, ceiling);
     }
 
--- a/crates/kitetrail-core/src/shard/event.rs
+++ b/crates/kitetrail-core/src/shard/event.rs
@@ -10,8 +10,8 @@
 use crate::{
     Attempt, Epoch, ShardId, SpecName, TaskId, Version, WorkerId, ZoneId,
     fleet::WorkerInfo,
-    table::{CommitAnswer, Key, Transaction},
-    task::{Ending, InboxItem, TaskRow},
+    table::{CommitOutcome, RowKey, Transaction},
+    task::{InboxItem, TaskEnding, TaskRow},
     worker::{SyncReply, SyncRequest},
 };
 
@@ -27,31 +27,31 @@
     UnixTime(u64),
     /// The rank of this box among the boxes that may own the shard changed. Zero is the
     /// first choice; `None` means that this box may not own the shard.
-    Ranked(Option<usize>),
+    RankChanged(Option<usize>),
     /// The box list was read and holds these workers of the shard.
-    FleetSeen(Vec<WorkerInfo>),
+    FleetUpdated(Vec<WorkerInfo>),
     /// The shard's lease row was read. `None` means that the row does not exist.
     LeaseRead(Option<(Version, crate::OpId, super::LeaseRow)>),
     /// The shard's lease row could not be read.
     LeaseReadFailed,
     /// A transaction was answered, or its answer was lost.
-    CommitAnswered(CommitAnswer),
+    CommitAnswered(CommitOutcome),
     /// The shard's tasks were read.
-    Loaded(Vec<TaskRow>),
+    TasksRead(Vec<TaskRow>),
     /// The shard's tasks could not be read.
-    LoadFailed,
+    TasksReadFailed,
     /// The inbox was read.
-    InboxRead(Vec<(Key, Version, InboxItem)>),
+    InboxRead(Vec<(RowKey, Version, InboxItem)>),
     /// The inbox could not be read.
     InboxReadFailed,
     /// A worker replied to a sync request.
     WorkerReplied(WorkerId, SyncReply),
     /// A worker did not reply to a sync request.
-    WorkerSilent(WorkerId),
+    WorkerDidNotReply(WorkerId),
     /// A message was added to the inbox.
-    Woken,
+    InboxChanged,
     /// This box is about to stop and has to release the shard.
-    Drain,
+    Stop,
 }
 
 /// An output of the shard's state machine.
@@ -60,7 +60,7 @@
     /// Read the shard's lease row.
     ReadLease,
     /// Read the shard's tasks.
-    Load,
+    ReadTasks,
     /// Read the shard's inbox.
     ReadInbox,
     /// Send a transaction to the table.
@@ -107,7 +107,7 @@
     /// The shard was taken over.
     TookOver(Epoch),
     /// The shard was released.
-    HandedBack(Epoch),
+    Released(Epoch),
     /// The ownership was lost to another box.
     SteppedDown(Epoch),
     /// A task was placed on a worker.
@@ -131,13 +131,13 @@
         reason: RequeueReason,
     },
     /// A task is to be throttled, run at full speed again, or evicted.
-    Relieved {
+    WantChanged {
         /// The task.
         task: TaskId,
         /// The worker.
         worker: WorkerId,
         /// The state that is requested of the worker.
-        want: crate::worker::Want,
+        want: crate::worker::DesiredState,
         /// Why.
         reason: String,
     },
@@ -146,7 +146,7 @@
         /// The task.
         task: TaskId,
         /// How the task ended.
-        ending: Ending,
+        ending: TaskEnding,
     },
     /// A worker receives no new tasks for a while because tasks failed on it.
     Quarantined {
@@ -156,9 +156,9 @@
         duration_ms: u64,
     },
     /// The table does not answer. Running work is kept; nothing new is placed.
-    Detached,
+    TableUnreachable,
     /// The table is reachable again.
-    Attached,
+    TableReachable,
 }
 
 /// The reason for returning a task to the queue.
@@ -198,7 +198,7 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
             Decision::TookOver(epoch) => write!(f, "took over, epoch {epoch}"),
-            Decision::HandedBack(epoch) => write!(f, "handed back, epoch {epoch}"),
+            Decision::Released(epoch) => write!(f, "handed back, epoch {epoch}"),
             Decision::SteppedDown(epoch) => write!(f, "stepped down, epoch {epoch}"),
             Decision::Placed { task, attempt, worker, reason } => {
                 write!(f, "placed {task} attempt {attempt} on {worker}: {reason}")
@@ -206,7 +206,7 @@
             Decision::Requeued { task, attempt, reason } => {
                 write!(f, "requeued {task} as attempt {attempt}: {reason}")
             }
-            Decision::Relieved { task, worker, want, reason } => {
+            Decision::WantChanged { task, worker, want, reason } => {
                 write!(f, "asked {worker} to {want} {task}: {reason}")
             }
             Decision::Ended { task, ending } => write!(f, "ended {task}: {ending}"),
@@ -216,10 +216,10 @@
                     "rests {worker} for {duration_ms} ms: tasks of several specs failed on it"
                 )
             }
-            Decision::Detached => {
+            Decision::TableUnreachable => {
                 f.write_str("table unreachable: keeping running tasks, placing none")
             }
-            Decision::Attached => f.write_str("table reachable again"),
+            Decision::TableReachable => f.write_str("table reachable again"),
         }
     }
 }
--- a/crates/kitetrail-core/src/shard/ledger.rs
+++ b/crates/kitetrail-core/src/shard/ledger.rs
@@ -5,8 +5,8 @@
 use crate::{
     Attempt, Resources, SpecName, TaskClass, TaskId, Time,
     placement::ClassCount,
-    task::{Kind, TaskRow},
-    worker::{TaskReport, Want},
+    task::{SpecKind, TaskRow},
+    worker::{DesiredState, TaskReport},
 };
 
 /// The resources of a worker that are granted to one run of a task.
@@ -15,13 +15,13 @@
     /// The resources that the run occupies.
     pub size: Resources,
     /// The kind of the task.
-    pub kind: Kind,
+    pub kind: SpecKind,
     /// The class of the task.
     pub class: TaskClass,
     /// The boot number of the worker process that the grant was made for.
     pub boot: u64,
     /// The state that the owner requests of the run.
-    pub want: Want,
+    pub want: DesiredState,
     /// The end of the run's lease on the worker's clock, in milliseconds.
     pub lease_until_ms: u64,
     /// The time until which a replaced replica may finish its requests.
@@ -45,7 +45,7 @@
             kind: row.spec.kind,
             class: row.spec.class.clone(),
             boot,
-            want: Want::Run,
+            want: DesiredState::Run,
             lease_until_ms: 0,
             drain_until: None,
             first_order_sequence: None,
@@ -62,7 +62,7 @@
             kind: report.kind,
             class: report.class.clone(),
             boot,
-            want: Want::Stop,
+            want: DesiredState::Stop,
             lease_until_ms: 0,
             drain_until: None,
             first_order_sequence: Some(0),
--- a/crates/kitetrail-core/src/shard/machine.rs
+++ b/crates/kitetrail-core/src/shard/machine.rs
@@ -5,12 +5,12 @@
 use super::{
     Action, Decision, Event, LeaseRow, ShardSettings, ShardView,
     owner::{Owner, Takeover},
-    pending::{PendingCommit, PendingStage, Resolution},
+    pending_commit::{PendingCommit, PendingStage, Resolution},
 };
 use crate::{
     BoxId, Epoch, OpId, ShardId, Time, Version,
     placement::{Placer, PolicyTable, ReliefSettings},
-    table::{CommitAnswer, Condition, Key, Record, Transaction, Write},
+    table::{CommitOutcome, Condition, Record, RowKey, Transaction, Write},
 };
 
 /// The additional delay per rank before a box takes a shard over, in milliseconds.
@@ -164,7 +164,7 @@
         let mut actions = Vec::new();
         // Replies of workers are recorded at once and acted on at the next tick, so that the
         // number of scheduling passes does not grow with the number of workers.
-        let deferred = matches!(event, Event::WorkerReplied(..) | Event::WorkerSilent(_));
+        let deferred = matches!(event, Event::WorkerReplied(..) | Event::WorkerDidNotReply(_));
         match event {
             Event::Tick => {}
             Event::UnixTime(unix_ms) => {
@@ -173,13 +173,13 @@
                     owner.set_unix_time(unix_ms, &self.settings);
                 }
             }
-            Event::Ranked(rank) => self.set_rank(rank, now),
-            Event::FleetSeen(workers) => self.set_fleet(workers, now),
+            Event::RankChanged(rank) => self.set_rank(rank, now),
+            Event::FleetUpdated(workers) => self.set_fleet(workers, now),
             Event::LeaseRead(row) => self.on_lease_read(row, now, &mut actions),
             Event::LeaseReadFailed => self.read_in_flight = false,
             Event::CommitAnswered(answer) => self.on_commit_answered(answer, now, &mut actions),
-            Event::Loaded(rows) => self.on_loaded(rows, now, &mut actions),
-            Event::LoadFailed => self.on_load_failed(),
+            Event::TasksRead(rows) => self.on_tasks_read(rows, now, &mut actions),
+            Event::TasksReadFailed => self.on_tasks_read_failed(),
             Event::InboxRead(items) => {
                 if let Role::Owning { owner, .. } = &mut self.role {
                     owner.on_inbox(items, &self.placer, &mut actions);
@@ -193,17 +193,17 @@
             Event::WorkerReplied(worker, reply) => {
                 self.on_worker_replied(worker, reply, now, &mut actions);
             }
-            Event::WorkerSilent(worker) => {
+            Event::WorkerDidNotReply(worker) => {
                 if let Role::Owning { owner, .. } = &mut self.role {
                     owner.on_no_reply(&worker);
                 }
             }
-            Event::Woken => {
+            Event::InboxChanged => {
                 if let Role::Owning { owner, .. } = &mut self.role {
                     owner.wake();
                 }
             }
-            Event::Drain => self.draining = true,
+            Event::Stop => self.draining = true,
         }
         if !deferred {
             self.advance(now, &mut actions);
@@ -278,20 +278,20 @@
         }
     }
 
-    fn on_commit_answered(&mut self, answer: CommitAnswer, now: Time, actions: &mut Vec<Action>) {
+    fn on_commit_answered(&mut self, answer: CommitOutcome, now: Time, actions: &mut Vec<Action>) {
         let commit = match &mut self.role {
             Role::Acquiring { commit, .. } | Role::Owning { commit: Some(commit), .. } => commit,
             Role::Watching | Role::Loading { .. } | Role::Owning { commit: None, .. } => return,
         };
         match answer {
-            CommitAnswer::Committed(version) => {
+            CommitOutcome::Committed(version) => {
                 self.on_resolved(Resolution::Applied(version), now, actions);
             }
-            CommitAnswer::Conflict => {
+            CommitOutcome::Conflict => {
                 commit.unchanged_conflicts += 1;
                 commit.stage = PendingStage::ReadBack;
             }
-            CommitAnswer::Unknown => commit.stage = PendingStage::ReadBack,
+            CommitOutcome::Unknown => commit.stage = PendingStage::ReadBack,
         }
     }
 
@@ -325,7 +325,7 @@
             Role::Owning { owner, commit, hand_back } => {
                 let Some(pending) = commit.take() else { return };
                 if *hand_back {
-                    actions.push(Action::Log(Decision::HandedBack(owner.epoch())));
+                    actions.push(Action::Log(Decision::Released(owner.epoch())));
                     self.reset_to_watching();
                     self.handed_back = true;
                     return;
@@ -336,7 +336,12 @@
         }
     }
 
-    fn on_loaded(&mut self, rows: Vec<crate::task::TaskRow>, now: Time, actions: &mut Vec<Action>) {
+    fn on_tasks_read(
+        &mut self,
+        rows: Vec<crate::task::TaskRow>,
+        now: Time,
+        actions: &mut Vec<Action>,
+    ) {
         let Role::Loading { epoch, version, since, .. } = self.role else { return };
         // If no other box has owned the shard since this box did, the wait for leases that an
         // older owner may have renewed continues; it does not start over.
@@ -360,7 +365,7 @@
         self.role = Role::Owning { owner: Box::new(owner), commit: None, hand_back: false };
     }
 
-    fn on_load_failed(&mut self) {
+    fn on_tasks_read_failed(&mut self) {
         if let Role::Loading { load_requested, .. } = &mut self.role {
             *load_requested = false;
         }
@@ -403,7 +408,7 @@
             Role::Loading { load_requested: true, .. } => {}
             Role::Loading { load_requested, .. } => {
                 *load_requested = true;
-                actions.push(Action::Load);
+                actions.push(Action::ReadTasks);
             }
             Role::Owning { .. } => self.advance_owner(now, actions),
         }
@@ -458,7 +463,7 @@
 
     /// Returns a transaction that rewrites only the shard's lease row.
     fn lease_transaction(&mut self, base: Version, lease: LeaseRow) -> Transaction {
-        let key = Key::lease(&self.id);
+        let key = RowKey::lease(&self.id);
         Transaction {
             op: self.next_op_id(),
             conditions: vec![Condition { key: key.clone(), version: base }],
--- a/crates/kitetrail-core/src/shard/mod.rs
+++ b/crates/kitetrail-core/src/shard/mod.rs
@@ -5,7 +5,7 @@
 mod ledger;
 mod machine;
 mod owner;
-mod pending;
+mod pending_commit;
 mod settings;
 mod view;
 mod worker_state;
--- a/crates/kitetrail-core/src/shard/owner.rs
+++ b/crates/kitetrail-core/src/shard/owner.rs
@@ -3,9 +3,9 @@
 mod commit;
 mod inbox;
 mod place;
-mod relieve;
+mod relief;
 mod reply;
-mod speak;
+mod sync;
 
 use std::{
     cmp::Reverse,
@@ -21,8 +21,8 @@
     Attempt, Epoch, ShardId, TaskId, Time, Version, WorkerId,
     fleet::{Liveness, WorkerInfo},
     placement::{Placer, ReliefSettings},
-    table::{Condition, Key, Write},
-    task::{Stage, TaskRow},
+    table::{Condition, RowKey, Write},
+    task::{TaskRow, TaskStage},
 };
 
 /// The time that a replaced replica has to finish its requests.
@@ -108,9 +108,9 @@
     in_flight: bool,
     /// The messages that were handled. They are deleted in the transaction that stores
     /// their effects.
-    handled: BTreeMap<Key, Version>,
+    handled: BTreeMap<RowKey, Version>,
     /// The handled messages whose deletion was sent.
-    deleting: Vec<Key>,
+    deleting: Vec<RowKey>,
 }
 
 /// A run that has certainly stopped.
@@ -231,16 +231,16 @@
 
     fn load_task<P: Placer>(&mut self, row: TaskRow, leases_end_at: Time, now: Time, placer: &P) {
         match &row.stage {
-            Stage::Queued => {
+            TaskStage::Queued => {
                 self.queue.insert(queue_key(&row, placer));
             }
-            Stage::Placed { worker, boot } => {
+            TaskStage::Placed { worker, boot } => {
                 let state = self.workers.entry(worker.clone());
                 let state = state.or_insert_with(|| WorkerState::new(leases_end_at, now));
                 state.ledger.insert_unchecked(row.id.clone(), row.attempt, Grant::of(&row, *boot));
                 self.placed_count += 1;
             }
-            Stage::Ended(_) => {
+            TaskStage::Ended(_) => {
                 let ended_ms =
                     if row.ended_unix_ms == 0 { self.unix_ms } else { row.ended_unix_ms };
                 self.ended_tasks.insert((ended_ms, row.id.clone()));
@@ -340,7 +340,8 @@
         let detached = self.is_detached(settings, now);
         if detached != self.was_detached {
             self.was_detached = detached;
-            let decision = if detached { Decision::Detached } else { Decision::Attached };
+            let decision =
+                if detached { Decision::TableUnreachable } else { Decision::TableReachable };
             actions.push(Action::Log(decision));
         }
     }
--- a/crates/kitetrail-core/src/shard/owner/commit.rs
+++ b/crates/kitetrail-core/src/shard/owner/commit.rs
@@ -4,7 +4,7 @@
 use crate::{
     Time, Version,
     shard::ShardSettings,
-    table::{Condition, Key, Record, Write},
+    table::{Condition, Record, RowKey, Write},
     task::TaskRow,
 };
 
@@ -31,7 +31,7 @@
         let mut content = CommitContent::default();
         for _ in 0..settings.max_commit_rows {
             let Some(task) = self.dirty.pop_first() else { break };
-            let key = Key::task(&self.shard, &task);
+            let key = RowKey::task(&self.shard, &task);
             let record = self.rows.get(&task).cloned().map(Record::Task);
             content.writes.push(Write { key, record });
             self.committing.insert(task);
--- a/crates/kitetrail-core/src/shard/owner/inbox.rs
+++ b/crates/kitetrail-core/src/shard/owner/inbox.rs
@@ -5,9 +5,9 @@
     SpecName, TaskId, Time, Version,
     placement::Placer,
     shard::{Action, Decision, ShardSettings},
-    table::Key,
-    task::{Ending, InboxItem, Stage, TaskRow},
-    worker::Want,
+    table::RowKey,
+    task::{InboxItem, TaskEnding, TaskRow, TaskStage},
+    worker::DesiredState,
 };
 
 impl Owner {
@@ -24,7 +24,7 @@
     /// Handles the messages that were read from the inbox.
     pub(in crate::shard) fn on_inbox<P: Placer>(
         &mut self,
-        items: Vec<(Key, Version, InboxItem)>,
+        items: Vec<(RowKey, Version, InboxItem)>,
         placer: &P,
         actions: &mut Vec<Action>,
     ) {
@@ -79,21 +79,21 @@
     ) {
         let Some(row) = self.rows.get_mut(id) else { return };
         match &row.stage {
-            Stage::Ended(_) => return,
-            Stage::Queued => {
+            TaskStage::Ended(_) => return,
+            TaskStage::Queued => {
                 self.queue.remove(&queue_key(row, placer));
-                row.stage = Stage::Ended(Ending::Cancelled);
+                row.stage = TaskStage::Ended(TaskEnding::Cancelled);
                 row.ended_unix_ms = self.unix_ms;
                 self.ended_tasks.insert((self.unix_ms, id.clone()));
-                let ending = Ending::Cancelled;
+                let ending = TaskEnding::Cancelled;
                 actions.push(Action::Log(Decision::Ended { task: id.clone(), ending }));
             }
-            Stage::Placed { worker, .. } => {
+            TaskStage::Placed { worker, .. } => {
                 row.cancelled = true;
                 if let Some(state) = self.workers.get_mut(worker) {
                     state.next_sync = Time::ZERO;
                     if let Some(grant) = state.ledger.get_mut(id, row.attempt) {
-                        grant.want = Want::Stop;
+                        grant.want = DesiredState::Stop;
                     }
                 }
             }
--- a/crates/kitetrail-core/src/shard/owner/place.rs
+++ b/crates/kitetrail-core/src/shard/owner/place.rs
@@ -5,13 +5,13 @@
 use super::{MAX_EXAMINED_PER_STEP, Owner, PREEMPTION_TIMEOUT, QueueKey};
 use crate::{
     Attempt, Resources, SpecName, TaskId, TeamId, Time, WorkerId,
-    placement::{Candidate, Choice, Placer, Sacrifice},
+    placement::{AllowedRelief, Choice, PlacementCandidate, Placer},
     shard::{
         Action, Decision, Grant, ShardSettings,
         worker_state::{LastReply, WorkerState},
     },
-    task::{Kind, Spec, Stage, TaskRow},
-    worker::Want,
+    task::{Spec, SpecKind, TaskRow, TaskStage},
+    worker::DesiredState,
 };
 
 impl Owner {
@@ -72,7 +72,7 @@
             return usage;
         }
         let placed = self.rows.values().filter(|row| row.worker().is_some());
-        for row in placed.filter(|row| row.spec.kind == Kind::Job) {
+        for row in placed.filter(|row| row.spec.kind == SpecKind::Job) {
             usage.add(&row.spec);
         }
         usage
@@ -96,7 +96,7 @@
             .filter(|(_, state)| row.spec.size.fits_in(&state.ledger.free()))
             .filter(|(id, _)| !row.failed_on.contains(id) || self.workers.len() == 1)
             .filter(|(_, state)| {
-                row.spec.kind != Kind::Service || !has_replica(state, &row.id.spec)
+                row.spec.kind != SpecKind::Service || !has_replica(state, &row.id.spec)
             })
             .filter(|(id, state)| {
                 Some(*id) != avoided && state.ledger.get(&row.id, row.attempt).is_none()
@@ -104,9 +104,9 @@
             .filter_map(|(id, state)| Some((id, state, state.last_reply?)))
             .collect();
         let racks = self.siblings_by_rack(&row.id.spec);
-        let candidates: Vec<Candidate<'_>> = eligible
+        let candidates: Vec<PlacementCandidate<'_>> = eligible
             .iter()
-            .map(|(id, state, _)| Candidate {
+            .map(|(id, state, _)| PlacementCandidate {
                 worker: id,
                 capacity: state.capacity(),
                 free: state.ledger.free(),
@@ -151,7 +151,7 @@
         if !state.ledger.try_grant(task.clone(), attempt, Grant::of(row, boot)) {
             return;
         }
-        row.stage = Stage::Placed { worker: worker.clone(), boot };
+        row.stage = TaskStage::Placed { worker: worker.clone(), boot };
         self.placed_count += 1;
         self.queue.remove(key);
         self.preempting_since.remove(&task);
@@ -186,12 +186,12 @@
         state.next_sync = now;
         for (victim, attempt) in victims {
             if let Some(grant) = state.ledger.get_mut(&victim, attempt) {
-                grant.want = Want::Checkpoint;
+                grant.want = DesiredState::Checkpoint;
             }
-            actions.push(Action::Log(Decision::Relieved {
+            actions.push(Action::Log(Decision::WantChanged {
                 task: victim,
                 worker: worker.clone(),
-                want: Want::Checkpoint,
+                want: DesiredState::Checkpoint,
                 reason: format!("preempted for urgent task {task}"),
             }));
         }
@@ -222,7 +222,7 @@
     /// Adds a task unless that would exceed its team's quota. Returns whether it fits.
     fn try_add<P: Placer>(&mut self, spec: &Spec, placer: &P) -> bool {
         let quota = match placer.policy().quotas.get(&spec.team) {
-            Some(quota) if spec.kind == Kind::Job => quota,
+            Some(quota) if spec.kind == SpecKind::Job => quota,
             _ => return true,
         };
         let usage = self.0.get(&spec.team).copied().unwrap_or_default();
@@ -251,10 +251,10 @@
     let mut evictable: Vec<_> = state
         .ledger
         .iter()
-        .filter(|(_, grant)| matches!(grant.want, Want::Run | Want::Throttle))
+        .filter(|(_, grant)| matches!(grant.want, DesiredState::Run | DesiredState::Throttle))
         .filter(|(_, grant)| {
             let rule = placer.policy().rule(&grant.class, grant.kind);
-            rule.sacrifice == Sacrifice::Evict && (rule.rank < rank || row.spec.priority > 0)
+            rule.sacrifice == AllowedRelief::Evict && (rule.rank < rank || row.spec.priority > 0)
         })
         .collect();
     evictable.sort_by_key(|(_, grant)| grant.unsaved_ms);
--- a/crates/kitetrail-core/src/shard/owner/relieve.rs
+++ b/crates/kitetrail-core/src/shard/owner/relief.rs
@@ -4,10 +4,10 @@
 use crate::placement::ReliefStep;
 use crate::{
     Time,
-    placement::{Band, Placer, ReliefSettings, Resident},
+    placement::{LoadBand, Placer, ReliefSettings, Resident},
     shard::{Action, Decision, ShardSettings, event::RequeueReason, worker_state::WorkerState},
-    task::Kind,
-    worker::Want,
+    task::SpecKind,
+    worker::DesiredState,
 };
 
 impl Owner {
@@ -37,7 +37,7 @@
                         end: RunEnd::Stopped(RequeueReason::LeaseExpired),
                         crash: CrashEvidence::of(grant),
                     }),
-                    Kind::Service if attached && self.is_current(task, *attempt, id) => {
+                    SpecKind::Service if attached && self.is_current(task, *attempt, id) => {
                         replaced.push(task.clone());
                     }
                     _ => {}
@@ -71,14 +71,15 @@
                 let row = self.rows.get(task);
                 let current = row.is_some_and(|r| r.attempt == *attempt && r.worker() == Some(id));
                 match grant.kind {
-                    Kind::Service if current => {
+                    SpecKind::Service if current => {
                         grant.drain_until = Some(now + DRAIN_TIMEOUT);
                         replaced.push(task.clone());
                     }
-                    Kind::Job | Kind::Watcher
-                        if current && matches!(grant.want, Want::Run | Want::Throttle) =>
+                    SpecKind::Job | SpecKind::Watcher
+                        if current
+                            && matches!(grant.want, DesiredState::Run | DesiredState::Throttle) =>
                     {
-                        grant.want = Want::Checkpoint;
+                        grant.want = DesiredState::Checkpoint;
                         changed = true;
                     }
                     _ => {}
@@ -102,7 +103,7 @@
     ) {
         for (id, state) in &mut self.workers {
             let residents = residents_of(&state.ledger);
-            let band = Band::of(state.ledger.used(), &state.capacity());
+            let band = LoadBand::of(state.ledger.used(), &state.capacity());
             for step in state.relief.step(placer, relief, &residents, band, now) {
                 let ReliefStep { task, attempt, want } = step;
                 let Some(grant) = state.ledger.get_mut(&task, attempt) else { continue };
@@ -110,10 +111,10 @@
                 state.next_sync = now;
                 let worker = id.clone();
                 let reason = match want {
-                    Want::Run => "services on the worker are no longer slow".to_owned(),
+                    DesiredState::Run => "services on the worker are no longer slow".to_owned(),
                     _ => format!("class {} slows another class on the worker", grant.class),
                 };
-                actions.push(Action::Log(Decision::Relieved { task, worker, want, reason }));
+                actions.push(Action::Log(Decision::WantChanged { task, worker, want, reason }));
             }
         }
     }
--- a/crates/kitetrail-core/src/shard/owner/reply.rs
+++ b/crates/kitetrail-core/src/shard/owner/reply.rs
@@ -6,10 +6,10 @@
 };
 use crate::{
     TaskId, Time, WorkerId,
-    placement::{Band, Placer},
+    placement::{LoadBand, Placer},
     shard::{Action, Decision, Grant, ShardSettings, event::RequeueReason},
-    task::{Ending, Kind, Stage},
-    worker::{Phase, SyncReply, TaskReport, Want},
+    task::{SpecKind, TaskEnding, TaskStage},
+    worker::{DesiredState, SyncReply, TaskPhase, TaskReport},
 };
 
 impl Owner {
@@ -40,7 +40,7 @@
         if first_reply {
             state.next_sync = now;
         }
-        let band = Band::of(state.ledger.used(), &state.capacity());
+        let band = LoadBand::of(state.ledger.used(), &state.capacity());
         for sample in &reply.usage {
             placer.observe(sample, band);
             state.relief.observe(&sample.class, sample.slowdown);
@@ -101,23 +101,23 @@
         let state = self.workers.get_mut(id)?;
         let grant = state.ledger.get_mut(&report.task, report.attempt);
         let end = match (report.phase, grant) {
-            (Phase::Running, Some(grant)) => {
+            (TaskPhase::Running, Some(grant)) => {
                 grant.running = true;
                 grant.first_order_sequence.get_or_insert(0);
                 grant.unsaved_ms = report.progress_ms.saturating_sub(report.checkpoint_ms);
                 return None;
             }
-            (Phase::Running, None) => {
+            (TaskPhase::Running, None) => {
                 let grant = Grant::for_unknown_run(report, boot);
                 state.ledger.insert_unchecked(report.task.clone(), report.attempt, grant);
                 return None;
             }
-            (Phase::Done, _) => RunEnd::Done,
-            (Phase::Failed, _) => RunEnd::Failed,
-            (Phase::Stopped, Some(grant)) if grant.want == Want::Checkpoint => {
+            (TaskPhase::Done, _) => RunEnd::Done,
+            (TaskPhase::Failed, _) => RunEnd::Failed,
+            (TaskPhase::Stopped, Some(grant)) if grant.want == DesiredState::Checkpoint => {
                 RunEnd::Stopped(RequeueReason::Evicted)
             }
-            (Phase::Stopped, _) => RunEnd::Stopped(RequeueReason::NotRunning),
+            (TaskPhase::Stopped, _) => RunEnd::Stopped(RequeueReason::NotRunning),
         };
         Some(EndedRun {
             worker: id.clone(),
@@ -162,13 +162,15 @@
         let failures_exhausted = row.failed_on.len() as u32 >= settings.max_failures
             || row.failed_on.len() as u32 >= 1 && row.attempt.0 >= MAX_RUNS;
         match *end {
-            RunEnd::Done if !kind.runs_forever() => self.finish(task, Ending::Done, actions),
-            _ if row.cancelled => self.finish(task, Ending::Cancelled, actions),
-            RunEnd::Failed if kind == Kind::Job && failures_exhausted => {
-                self.finish(task, Ending::Failed, actions);
+            RunEnd::Done if !kind.is_restarted_when_done() => {
+                self.finish(task, TaskEnding::Done, actions)
             }
-            RunEnd::Stopped(_) if kind == Kind::Job && crash_limit_reached => {
-                self.finish(task, Ending::Failed, actions);
+            _ if row.cancelled => self.finish(task, TaskEnding::Cancelled, actions),
+            RunEnd::Failed if kind == SpecKind::Job && failures_exhausted => {
+                self.finish(task, TaskEnding::Failed, actions);
+            }
+            RunEnd::Stopped(_) if kind == SpecKind::Job && crash_limit_reached => {
+                self.finish(task, TaskEnding::Failed, actions);
             }
             RunEnd::Done => self.requeue(task, RequeueReason::Restarted, placer, actions),
             RunEnd::Failed => self.requeue(task, RequeueReason::Failed, placer, actions),
@@ -192,10 +194,10 @@
     ) {
         let EndedRun { task, attempt, end, .. } = ended;
         let Some(row) = self.rows.get(task) else { return };
-        let still_queued = row.stage == Stage::Queued && row.attempt == attempt.next();
-        if *end == RunEnd::Done && row.spec.kind == Kind::Job && still_queued {
+        let still_queued = row.stage == TaskStage::Queued && row.attempt == attempt.next();
+        if *end == RunEnd::Done && row.spec.kind == SpecKind::Job && still_queued {
             self.queue.remove(&queue_key(row, placer));
-            self.finish(task, Ending::Done, actions);
+            self.finish(task, TaskEnding::Done, actions);
         }
     }
 
@@ -234,12 +236,12 @@
         actions.push(Action::Log(Decision::Quarantined { worker, duration_ms }));
     }
 
-    pub(super) fn finish(&mut self, task: &TaskId, ending: Ending, actions: &mut Vec<Action>) {
+    pub(super) fn finish(&mut self, task: &TaskId, ending: TaskEnding, actions: &mut Vec<Action>) {
         let Some(row) = self.rows.get_mut(task) else { return };
         if row.worker().is_some() {
             self.placed_count -= 1;
         }
-        row.stage = Stage::Ended(ending.clone());
+        row.stage = TaskStage::Ended(ending.clone());
         row.ended_unix_ms = self.unix_ms;
         self.ended_tasks.insert((self.unix_ms, task.clone()));
         self.avoided_workers.remove(task);
@@ -258,7 +260,7 @@
     ) {
         let Some(row) = self.rows.get_mut(task) else { return };
         row.attempt = row.attempt.next();
-        row.stage = Stage::Queued;
+        row.stage = TaskStage::Queued;
         self.placed_count -= 1;
         self.queue.insert(queue_key(row, placer));
         self.dirty.insert(task.clone());
--- a/crates/kitetrail-core/src/shard/owner/speak.rs
+++ b/crates/kitetrail-core/src/shard/owner/sync.rs
@@ -5,8 +5,8 @@
     Time, WorkerId,
     fleet::Liveness,
     shard::{Action, EndpointSet, PlacedEndpoint, ShardSettings},
-    task::Kind,
-    worker::{Order, SyncRequest, Want, Wants},
+    task::SpecKind,
+    worker::{DesiredState, SyncRequest, TaskOrder, WorkerOrders},
 };
 
 impl Owner {
@@ -46,7 +46,7 @@
             boot: 0,
             sequence: 0,
             seen: 0,
-            wants: Wants::Listen,
+            wants: WorkerOrders::Listen,
             settled: Vec::new(),
         };
         let (rows, dirty, committing) = (&self.rows, &self.dirty, &self.committing);
@@ -77,10 +77,10 @@
                 grant.lease_until_ms = lease_until_ms;
             }
             all_renewed &= renew;
-            orders.push(Order {
+            orders.push(TaskOrder {
                 task: task.clone(),
                 attempt: *attempt,
-                want: if renew { grant.want } else { Want::Checkpoint },
+                want: if renew { grant.want } else { DesiredState::Checkpoint },
                 kind: grant.kind,
                 class: grant.class.clone(),
                 size: grant.size,
@@ -126,7 +126,7 @@
         for (id, state) in &self.workers {
             let Some(info) = &state.info else { continue };
             let serving = state.ledger.iter().filter(|(_, grant)| {
-                grant.kind == Kind::Service && grant.running && grant.want != Want::Stop
+                grant.kind == SpecKind::Service && grant.running && grant.want != DesiredState::Stop
             });
             for ((task, attempt), grant) in serving {
                 let current = self.is_current(task, *attempt, id);
--- a/crates/kitetrail-core/src/shard/worker_state.rs
+++ b/crates/kitetrail-core/src/shard/worker_state.rs
@@ -7,7 +7,7 @@
     Attempt, Resources, SpecName, TaskId, Time,
     fleet::{Liveness, WorkerInfo},
     placement::ReliefState,
-    worker::{Order, SyncReply, TaskReport, Wants},
+    worker::{SyncReply, TaskOrder, TaskReport, WorkerOrders},
 };
 
 /// The number of specs that must fail on a worker, without a success between them, before
@@ -47,7 +47,7 @@
     sequence_sent: u64,
     sequence_seen: u64,
     /// The latest list of orders, without lease times.
-    orders: Vec<Order>,
+    orders: Vec<TaskOrder>,
     list_number: u64,
     /// The number of the list that the worker follows.
     acknowledged_list_number: u64,
@@ -120,20 +120,20 @@
     /// same orders, the full list otherwise.
     ///
     /// Without `renewal` the leases of the orders differ, so the full list is sent.
-    pub fn encode_orders(&mut self, orders: Vec<Order>, renewal: Option<u64>) -> Wants {
-        let without_lease = |order: &Order| Order { lease_until_ms: 0, ..order.clone() };
-        let without_leases: Vec<Order> = orders.iter().map(without_lease).collect();
+    pub fn encode_orders(&mut self, orders: Vec<TaskOrder>, renewal: Option<u64>) -> WorkerOrders {
+        let without_lease = |order: &TaskOrder| TaskOrder { lease_until_ms: 0, ..order.clone() };
+        let without_leases: Vec<TaskOrder> = orders.iter().map(without_lease).collect();
         let list_is_current = self.list_number > 0
             && self.acknowledged_list_number == self.list_number
             && without_leases == self.orders;
         match renewal {
             Some(lease_until_ms) if list_is_current => {
-                Wants::Renew { list: self.list_number, lease_until_ms }
+                WorkerOrders::Renew { list: self.list_number, lease_until_ms }
             }
             _ => {
                 self.list_number += 1;
                 self.orders = without_leases;
-                Wants::Orders { list: self.list_number, orders }
+                WorkerOrders::Orders { list: self.list_number, orders }
             }
         }
     }
@@ -187,7 +187,7 @@
 
     /// Replaces the list of ended runs that the worker still reports.
     pub fn set_unsettled(&mut self, tasks: &[TaskReport]) {
-        let ended = tasks.iter().filter(|report| report.phase != crate::worker::Phase::Running);
+        let ended = tasks.iter().filter(|report| report.phase != crate::worker::TaskPhase::Running);
         self.unsettled = ended.map(|report| (report.task.clone(), report.attempt)).collect();
     }
 }
--- a/crates/kitetrail-core/src/succession.rs
+++ b/crates/kitetrail-core/src/succession.rs
@@ -69,7 +69,7 @@
 
     /// Records that the most recent one has stopped by now, and returns the time after which none of
     /// them renews leases.
-    pub fn note_last_stopped(&mut self, now: Time) -> Time {
+    pub fn record_last_stopped(&mut self, now: Time) -> Time {
         self.last_until = self.last_until.min(now);
         self.predecessors_until.max(self.last_until)
     }
@@ -91,15 +91,15 @@
         Self(u32::try_from(by_processor.min(by_link)).unwrap_or(u32::MAX))
     }
 
-    /// Returns whether a box of this strength is weak beside one of the given strength.
-    pub fn is_weak_beside(self, other: BoxStrength) -> bool {
+    /// Returns whether a box of this strength is weak compared to one of the given strength.
+    pub fn is_weak_compared_to(self, other: BoxStrength) -> bool {
         u64::from(self.0) * 100 < u64::from(other.0) * u64::from(WEAK_STRENGTH_PERCENT)
     }
 
     /// Returns the delay before a box of this strength claims the ownership of a lost owner, given the
     /// strength of the strongest known box.
-    pub fn claim_wait(self, strongest: BoxStrength) -> Duration {
-        if self.is_weak_beside(strongest) { WEAK_CLAIM_DELAY } else { Duration::ZERO }
+    pub fn claim_delay(self, strongest: BoxStrength) -> Duration {
+        if self.is_weak_compared_to(strongest) { WEAK_CLAIM_DELAY } else { Duration::ZERO }
     }
 }
 
@@ -117,7 +117,7 @@
     /// The time when the box started.
     pub started_at: Time,
     /// The time of the last request from the box.
-    pub heard_at: Time,
+    pub last_request_at: Time,
 }
 
 /// The boxes that could succeed the owner, by address.
@@ -139,7 +139,7 @@
     /// first: during a rolling restart, that box has already been restarted.
     pub fn successors(&self, now: Time) -> Vec<K> {
         let strongest = self.strongest(now);
-        let is_weak = |candidate: &Candidate| candidate.strength.is_weak_beside(strongest);
+        let is_weak = |candidate: &Candidate| candidate.strength.is_weak_compared_to(strongest);
         let mut recent = self.recent(now).collect::<Vec<_>>();
         recent.sort_by(|(_, a), (_, b)| {
             is_weak(a).cmp(&is_weak(b)).then(b.started_at.cmp(&a.started_at))
@@ -148,10 +148,10 @@
     }
 
     /// Returns the best candidate, if an owner of the given strength is weak beside it.
-    pub fn much_stronger(&self, than: BoxStrength, now: Time) -> Option<K> {
+    pub fn much_stronger_candidate(&self, than: BoxStrength, now: Time) -> Option<K> {
         let first = self.successors(now).into_iter().next()?;
         let candidate = self.boxes.get(&first)?;
-        than.is_weak_beside(candidate.strength).then_some(first)
+        than.is_weak_compared_to(candidate.strength).then_some(first)
     }
 
     /// Returns the highest strength among the candidates with a recent request.
@@ -160,8 +160,8 @@
     }
 
     /// Adds or updates a candidate, and drops those without a recent request.
-    pub fn note(&mut self, key: K, candidate: Candidate) {
-        self.boxes.retain(|_, other| is_recent(other, candidate.heard_at));
+    pub fn insert(&mut self, key: K, candidate: Candidate) {
+        self.boxes.retain(|_, other| is_recent(other, candidate.last_request_at));
         self.boxes.insert(key, candidate);
     }
 
@@ -177,5 +177,5 @@
 }
 
 fn is_recent(candidate: &Candidate, now: Time) -> bool {
-    now.since(candidate.heard_at) <= CANDIDATE_TIMEOUT
+    now.since(candidate.last_request_at) <= CANDIDATE_TIMEOUT
 }
--- a/crates/kitetrail-core/src/table.rs
+++ b/crates/kitetrail-core/src/table.rs
@@ -15,9 +15,9 @@
 
 /// The key of a row.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Key(String);
+pub struct RowKey(String);
 
-impl Key {
+impl RowKey {
     /// Returns the key of a shard's lease.
     pub fn lease(shard: &ShardId) -> Self {
         Self(format!("lease/{shard}"))
@@ -70,7 +70,7 @@
     }
 }
 
-impl Display for Key {
+impl Display for RowKey {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
@@ -78,16 +78,16 @@
 
 /// The prefix shared by the keys of a range of rows.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Prefix(String);
+pub struct KeyPrefix(String);
 
-impl Prefix {
+impl KeyPrefix {
     /// Returns the prefix of all tasks of a shard.
     pub fn tasks(shard: &ShardId) -> Self {
         Self(format!("task/{shard}/"))
     }
 
     /// Returns the prefix of the tasks of one spec in a shard.
-    pub fn tasks_of(shard: &ShardId, spec: &SpecName) -> Self {
+    pub fn spec_tasks(shard: &ShardId, spec: &SpecName) -> Self {
         Self(format!("task/{shard}/{spec}:"))
     }
 
@@ -154,7 +154,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The key of the row.
-    pub key: Key,
+    pub key: RowKey,
     /// The version of the row when it was read.
     pub version: Version,
     /// The write that produced this version.
@@ -167,7 +167,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
     /// The key of the row.
-    pub key: Key,
+    pub key: RowKey,
     /// The version that the row must have. Zero requires that it is absent.
     pub version: Version,
 }
@@ -176,7 +176,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Write {
     /// The key of the row.
-    pub key: Key,
+    pub key: RowKey,
     /// The new contents of the row, or `None` to delete it.
     pub record: Option<Record>,
 }
@@ -195,7 +195,7 @@
 /// The known outcome of a transaction that was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum CommitAnswer {
+pub enum CommitOutcome {
     /// The transaction took effect and gave its rows this version.
     Committed(Version),
     /// A condition did not hold when the table answered.
--- a/crates/kitetrail-core/src/task.rs
+++ b/crates/kitetrail-core/src/task.rs
@@ -10,7 +10,7 @@
 /// The kind of work that a spec describes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum SpecKind {
     /// Serves callers with a fixed number of replicas.
     Service,
     /// Runs to completion.
@@ -19,30 +19,30 @@
     Watcher,
 }
 
-impl Kind {
+impl SpecKind {
     /// Returns whether a task must not run in two places at once.
     pub fn is_exclusive(self) -> bool {
         match self {
-            Kind::Service => false,
-            Kind::Job | Kind::Watcher => true,
+            SpecKind::Service => false,
+            SpecKind::Job | SpecKind::Watcher => true,
         }
     }
 
     /// Returns whether a task that completed successfully is started again.
-    pub fn runs_forever(self) -> bool {
+    pub fn is_restarted_when_done(self) -> bool {
         match self {
-            Kind::Job => false,
-            Kind::Service | Kind::Watcher => true,
+            SpecKind::Job => false,
+            SpecKind::Service | SpecKind::Watcher => true,
         }
     }
 }
 
-impl Display for Kind {
+impl Display for SpecKind {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Kind::Service => "service",
-            Kind::Job => "job",
-            Kind::Watcher => "watcher",
+            SpecKind::Service => "service",
+            SpecKind::Job => "job",
+            SpecKind::Watcher => "watcher",
         })
     }
 }
@@ -54,7 +54,7 @@
     /// The name of the spec, unique across all kinds.
     pub name: SpecName,
     /// The kind of work.
-    pub kind: Kind,
+    pub kind: SpecKind,
     /// The team that owns the spec.
     pub team: TeamId,
     /// The class of its tasks.
@@ -77,7 +77,7 @@
 /// The reason why a task ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ending {
+pub enum TaskEnding {
     /// The task ran to completion.
     Done,
     /// The task failed on too many healthy workers, or crashed too many workers.
@@ -86,12 +86,12 @@
     Cancelled,
 }
 
-impl Display for Ending {
+impl Display for TaskEnding {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Ending::Done => "done",
-            Ending::Failed => "failed",
-            Ending::Cancelled => "cancelled",
+            TaskEnding::Done => "done",
+            TaskEnding::Failed => "failed",
+            TaskEnding::Cancelled => "cancelled",
         })
     }
 }
@@ -99,7 +99,7 @@
 /// The stage of a task in its life cycle.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Stage {
+pub enum TaskStage {
     /// The task waits for a worker.
     Queued,
     /// The task is assigned to a worker, which runs it or is about to.
@@ -110,7 +110,7 @@
         boot: u64,
     },
     /// The task ended and will not run again.
-    Ended(Ending),
+    Ended(TaskEnding),
 }
 
 /// The durable row of a task.
@@ -126,7 +126,7 @@
     /// The current run, or the next one while the task is queued.
     pub attempt: Attempt,
     /// The stage of the task.
-    pub stage: Stage,
+    pub stage: TaskStage,
     /// The progress saved by the last checkpoint, in milliseconds of work.
     #[serde(default)]
     pub checkpoint_ms: u64,
@@ -152,7 +152,7 @@
             id: TaskId { spec: spec.name.clone(), index },
             spec: spec.clone(),
             attempt: Attempt(1),
-            stage: Stage::Queued,
+            stage: TaskStage::Queued,
             checkpoint_ms: 0,
             failed_on: Vec::new(),
             crashed_on: Vec::new(),
@@ -164,14 +164,14 @@
     /// Returns the worker to which the task is assigned, if any.
     pub fn worker(&self) -> Option<&WorkerId> {
         match &self.stage {
-            Stage::Placed { worker, .. } => Some(worker),
-            Stage::Queued | Stage::Ended(_) => None,
+            TaskStage::Placed { worker, .. } => Some(worker),
+            TaskStage::Queued | TaskStage::Ended(_) => None,
         }
     }
 
     /// Returns whether the task has ended.
     pub fn is_ended(&self) -> bool {
-        matches!(self.stage, Stage::Ended(_))
+        matches!(self.stage, TaskStage::Ended(_))
     }
 }
 
--- a/crates/kitetrail-core/src/worker.rs
+++ b/crates/kitetrail-core/src/worker.rs
@@ -8,12 +8,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Attempt, Epoch, Resources, ShardId, TaskClass, TaskId, task::Kind};
+use crate::{Attempt, Epoch, Resources, ShardId, TaskClass, TaskId, task::SpecKind};
 
 /// The state of a task that the owner requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Want {
+pub enum DesiredState {
     /// Run the task at full speed.
     Run,
     /// Run the task at reduced speed, to relieve the other tasks on the worker.
@@ -24,28 +24,28 @@
     Stop,
 }
 
-impl Display for Want {
+impl Display for DesiredState {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Want::Run => "run",
-            Want::Throttle => "throttle",
-            Want::Checkpoint => "checkpoint",
-            Want::Stop => "stop",
+            DesiredState::Run => "run",
+            DesiredState::Throttle => "throttle",
+            DesiredState::Checkpoint => "checkpoint",
+            DesiredState::Stop => "stop",
         })
     }
 }
 
 /// An order from the owner to a worker about one task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct TaskOrder {
     /// The task.
     pub task: TaskId,
     /// The run of the task.
     pub attempt: Attempt,
     /// The requested state.
-    pub want: Want,
+    pub want: DesiredState,
     /// The kind of work.
-    pub kind: Kind,
+    pub kind: SpecKind,
     /// The class of the task.
     pub class: TaskClass,
     /// The resources that the task may use.
@@ -61,7 +61,7 @@
 /// The part of a sync request about the worker's tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Wants {
+pub enum WorkerOrders {
     /// The owner only requests a report, before it sends its first list of orders.
     Listen,
     /// The complete list of orders. The worker stops tasks of this shard that are not listed.
@@ -69,7 +69,7 @@
         /// The number of this list within one epoch.
         list: u64,
         /// The orders, one for each task.
-        orders: Vec<Order>,
+        orders: Vec<TaskOrder>,
     },
     /// Extends all leases of the list of orders that the worker follows.
     Renew {
@@ -96,7 +96,7 @@
     /// The sequence number of the request whose reply was the latest that the owner processed, or zero.
     pub seen: u64,
     /// The orders for the worker's tasks.
-    pub wants: Wants,
+    pub wants: WorkerOrders,
     /// The reports that the owner has stored durably and the worker can drop.
     pub settled: Vec<(TaskId, Attempt)>,
 }
@@ -104,7 +104,7 @@
 /// The state of a task on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Phase {
+pub enum TaskPhase {
     /// The task is running.
     Running,
     /// The task ran to completion.
@@ -123,9 +123,9 @@
     /// The run of the task.
     pub attempt: Attempt,
     /// The state of the task.
-    pub phase: Phase,
+    pub phase: TaskPhase,
     /// The kind of work.
-    pub kind: Kind,
+    pub kind: SpecKind,
     /// The class of the task.
     pub class: TaskClass,
     /// The resources reserved for the task.
--- a/crates/kitetrail-core/tests/configuration.rs
+++ b/crates/kitetrail-core/tests/configuration.rs
@@ -19,7 +19,7 @@
                 let mut in_force = RevisionInForce::default();
                 let mut highest = 0;
                 for number in [first, second, third] {
-                    let is_newer = in_force.offer(revision(number));
+                    let is_newer = in_force.apply_if_newer(revision(number));
                     assert_eq!(is_newer, number > highest, "P9: {number} after {highest}");
                     highest = highest.max(number);
                     assert_eq!(in_force.number(), highest);
--- a/crates/kitetrail-core/tests/evacuations.rs
+++ b/crates/kitetrail-core/tests/evacuations.rs
@@ -18,28 +18,28 @@
 #[test]
 fn a_request_stays_in_force_until_it_is_withdrawn() {
     let mut evacuations = Evacuations::default();
-    assert_eq!(evacuations.read(3, vec![]), []);
-    assert_eq!(evacuations.follow(5, vec![request("a", 5)]), [request("a", 5)]);
-    assert_eq!(evacuations.follow(6, vec![]), []);
+    assert_eq!(evacuations.replace_all(3, vec![]), []);
+    assert_eq!(evacuations.apply_changes(5, vec![request("a", 5)]), [request("a", 5)]);
+    assert_eq!(evacuations.apply_changes(6, vec![]), []);
     assert_eq!(zones(&evacuations), ["a"]);
-    assert_eq!(evacuations.follow(9, vec![withdrawal("a", 9)]), [withdrawal("a", 9)]);
+    assert_eq!(evacuations.apply_changes(9, vec![withdrawal("a", 9)]), [withdrawal("a", 9)]);
     assert!(zones(&evacuations).is_empty());
 }
 
 #[test]
 fn changes_in_one_answer_take_effect_in_their_order() {
     let mut evacuations = Evacuations::default();
-    evacuations.follow(9, vec![request("a", 5), withdrawal("a", 7), request("a", 9)]);
+    evacuations.apply_changes(9, vec![request("a", 5), withdrawal("a", 7), request("a", 9)]);
     assert_eq!(zones(&evacuations), ["a"]);
-    evacuations.follow(14, vec![withdrawal("a", 11), request("a", 12), withdrawal("a", 14)]);
+    evacuations.apply_changes(14, vec![withdrawal("a", 11), request("a", 12), withdrawal("a", 14)]);
     assert!(zones(&evacuations).is_empty());
 }
 
 #[test]
 fn a_complete_read_reports_requests_that_were_removed() {
     let mut evacuations = Evacuations::default();
-    evacuations.read(5, vec![request("a", 4), request("b", 5)]);
-    let changes = evacuations.read(20, vec![request("b", 5), request("c", 18)]);
+    evacuations.replace_all(5, vec![request("a", 4), request("b", 5)]);
+    let changes = evacuations.replace_all(20, vec![request("b", 5), request("c", 18)]);
     assert_eq!(changes, [withdrawal("a", 20), request("c", 18)]);
     assert_eq!(zones(&evacuations), ["b", "c"]);
 }
@@ -47,8 +47,8 @@
 #[test]
 fn changes_at_an_earlier_store_version_are_ignored() {
     let mut evacuations = Evacuations::default();
-    evacuations.read(20, vec![request("b", 15)]);
-    assert_eq!(evacuations.read(10, vec![request("a", 4)]), []);
-    assert_eq!(evacuations.follow(12, vec![withdrawal("b", 12)]), []);
+    evacuations.replace_all(20, vec![request("b", 15)]);
+    assert_eq!(evacuations.replace_all(10, vec![request("a", 4)]), []);
+    assert_eq!(evacuations.apply_changes(12, vec![withdrawal("b", 12)]), []);
     assert_eq!(zones(&evacuations), ["b"]);
 }
--- a/crates/kitetrail-core/tests/membership.rs
+++ b/crates/kitetrail-core/tests/membership.rs
@@ -24,7 +24,7 @@
 
 fn membership_of(boxes: usize, now: Time) -> Membership {
     let mut membership = Membership::new(id(0), 1, 1, now);
-    membership.set_listed((0..boxes).map(|n| listed(n, Liveness::Live)).collect());
+    membership.set_box_list((0..boxes).map(|n| listed(n, Liveness::Live)).collect());
     membership.merge((1..boxes).map(|n| heartbeat(n, 1)).collect(), now);
     membership
 }
@@ -38,7 +38,7 @@
 fn shards_are_distributed_evenly() {
     let now = Time::from_ms(1_000);
     for boxes in 1..=16 {
-        let owners = membership_of(boxes, now).owners(&shards(), now);
+        let owners = membership_of(boxes, now).rank_owners(&shards(), now);
         let max_owned = 16usize.div_ceil(boxes);
         for number in 0..boxes {
             let owned = owners.values().filter(|ranked| ranked[0] == id(number)).count();
@@ -51,10 +51,10 @@
 fn a_box_whose_heartbeat_stops_is_no_longer_up() {
     let now = Time::from_ms(1_000);
     let mut membership = membership_of(3, now);
-    let before_timeout = now + Membership::SUSPECT_AFTER - Duration::from_millis(1);
+    let before_timeout = now + Membership::HEARTBEAT_TIMEOUT - Duration::from_millis(1);
     assert!(membership.is_up(&id(1), before_timeout));
     membership.merge(vec![heartbeat(1, 2)], before_timeout);
-    let at_timeout = now + Membership::SUSPECT_AFTER;
+    let at_timeout = now + Membership::HEARTBEAT_TIMEOUT;
     assert!(membership.is_up(&id(1), at_timeout), "its heartbeat advanced");
     assert!(!membership.is_up(&id(2), at_timeout), "its heartbeat did not advance");
     membership.merge(vec![heartbeat(2, 1)], at_timeout);
@@ -68,7 +68,7 @@
     membership.merge(vec![Heartbeat { leaving: true, ..heartbeat(1, 2) }], now);
     let boxes =
         vec![listed(0, Liveness::Live), listed(1, Liveness::Live), listed(2, Liveness::Dead)];
-    membership.set_listed(boxes);
-    let owners = membership.owners(&shards(), now);
+    membership.set_box_list(boxes);
+    let owners = membership.rank_owners(&shards(), now);
     assert!(owners.values().all(|ranked| *ranked == [id(0)]));
 }
--- a/crates/kitetrail-core/tests/routing.rs
+++ b/crates/kitetrail-core/tests/routing.rs
@@ -7,8 +7,8 @@
 use kitetrail_core::{
     Epoch, Time,
     routing::{
-        Arrival, EndpointId, Exchange, Outcome, PowerOfTwo, RequestNumber, Router, RouterSettings,
-        Verdict,
+        EndpointId, Exchange, IncomingRequest, Outcome, PowerOfTwo, RequestId, Router,
+        RouterSettings, RoutingDecision,
     },
     shard::{EndpointSet, PlacedEndpoint},
 };
@@ -30,12 +30,12 @@
     behaviours: Vec<Behaviour>,
     now_ms: u64,
     offered: u64,
-    running: Vec<(u64, RequestNumber, EndpointId)>,
+    running: Vec<(u64, RequestId, EndpointId)>,
     repeatable: bool,
     counts: BTreeMap<&'static str, u64>,
     sends_to: BTreeMap<u64, u64>,
     longest_wait_ms: u64,
-    offered_at: BTreeMap<RequestNumber, u64>,
+    offered_at: BTreeMap<RequestId, u64>,
 }
 
 impl Simulation {
@@ -95,16 +95,16 @@
 
     fn offer_request(&mut self) {
         self.offered += 1;
-        let arrival = Arrival {
-            number: RequestNumber(self.offered),
+        let incoming = IncomingRequest {
+            number: RequestId(self.offered),
             service: "validate".parse().unwrap(),
             repeatable: self.repeatable,
             rank: 100,
             deadline: self.now() + Duration::from_secs(1),
         };
-        self.offered_at.insert(arrival.number, self.now_ms);
-        let verdict = self.router.offer(arrival.clone(), self.now());
-        self.apply_verdict(arrival.number, verdict);
+        self.offered_at.insert(incoming.number, self.now_ms);
+        let decision = self.router.route(incoming.clone(), self.now());
+        self.apply_decision(incoming.number, decision);
     }
 
     fn advance_one_ms(&mut self) {
@@ -113,20 +113,20 @@
         let ended: Vec<_> = self.running.extract_if(.., |(at, ..)| *at <= now_ms).collect();
         for (_, number, endpoint) in ended {
             let exchange = self.behaviour(endpoint).exchange;
-            let verdict = self.router.finish(number, endpoint, exchange, self.now());
-            self.apply_verdict(number, verdict);
+            let decision = self.router.on_exchange_end(number, endpoint, exchange, self.now());
+            self.apply_decision(number, decision);
         }
-        for (number, given_up) in self.router.expire(self.now()) {
-            self.apply_verdict(number, Verdict::GiveUp(given_up));
+        for (number, rejection) in self.router.reject_expired(self.now()) {
+            self.apply_decision(number, RoutingDecision::Reject(rejection));
         }
         for (number, endpoint) in self.router.take_ready(self.now()) {
-            self.apply_verdict(number, Verdict::Send(endpoint));
+            self.apply_decision(number, RoutingDecision::Send(endpoint));
         }
     }
 
-    fn apply_verdict(&mut self, number: RequestNumber, verdict: Verdict) {
-        match verdict {
-            Verdict::Send(endpoint) => {
+    fn apply_decision(&mut self, number: RequestId, decision: RoutingDecision) {
+        match decision {
+            RoutingDecision::Send(endpoint) => {
                 let state = self.router.endpoint(endpoint);
                 let port = u64::from(state.address.port());
                 assert!(state.outstanding() <= 60, "exceeds the connections per endpoint");
@@ -134,13 +134,13 @@
                 let at_ms = self.now_ms + self.behaviour(endpoint).latency_ms;
                 self.running.push((at_ms, number, endpoint));
             }
-            Verdict::Wait => {}
-            Verdict::Deliver => self.count("done"),
-            Verdict::GiveUp(given_up) => {
+            RoutingDecision::Wait => {}
+            RoutingDecision::Forward => self.count("done"),
+            RoutingDecision::Reject(rejection) => {
                 let waited_ms = self.now_ms - self.offered_at[&number];
                 self.longest_wait_ms = self.longest_wait_ms.max(waited_ms);
-                assert!(given_up.retry_after >= Duration::from_millis(100));
-                self.count(match given_up.outcome {
+                assert!(rejection.retry_after >= Duration::from_millis(100));
+                self.count(match rejection.outcome {
                     Outcome::NotRun => "not-run",
                     Outcome::Unknown => "unknown",
                     Outcome::Done => "done",
--- a/crates/kitetrail-platform/src/http.rs
+++ b/crates/kitetrail-platform/src/http.rs
@@ -11,7 +11,7 @@
 use kitetrail_core::{
     Version,
     fleet::{Fleet, WorkerInfo},
-    table::{CommitAnswer, Key, Prefix, Row, Transaction},
+    table::{CommitOutcome, KeyPrefix, Row, RowKey, Transaction},
     worker::{SyncReply, SyncRequest},
 };
 use serde::Deserialize;
@@ -46,21 +46,21 @@
 }
 
 impl TableService for HttpTable {
-    async fn read(&self, key: &Key) -> Result<Option<Row>, PlatformError> {
+    async fn read(&self, key: &RowKey) -> Result<Option<Row>, PlatformError> {
         self.client.get(uri(self.address, "/v1/row?key=", key.as_str())).await
     }
 
-    async fn scan(&self, prefix: &Prefix) -> Result<Vec<Row>, PlatformError> {
+    async fn scan(&self, prefix: &KeyPrefix) -> Result<Vec<Row>, PlatformError> {
         let uri = uri(self.address, "/v1/rows?prefix=", prefix.as_str());
         Ok(self.client.get::<Rows>(uri).await?.map(|rows| rows.rows).unwrap_or_default())
     }
 
-    async fn commit(&self, transaction: &Transaction) -> CommitAnswer {
+    async fn commit(&self, transaction: &Transaction) -> CommitOutcome {
         let uri = uri(self.address, "/v1/transactions", "");
         match self.client.post::<Committed>(uri, transaction).await {
-            Ok(committed) => CommitAnswer::Committed(committed.version),
-            Err(PlatformError::Refused { status: 409, .. }) => CommitAnswer::Conflict,
-            Err(_) => CommitAnswer::Unknown,
+            Ok(committed) => CommitOutcome::Committed(committed.version),
+            Err(PlatformError::Refused { status: 409, .. }) => CommitOutcome::Conflict,
+            Err(_) => CommitOutcome::Unknown,
         }
     }
 }
--- a/crates/kitetrail-platform/src/services.rs
+++ b/crates/kitetrail-platform/src/services.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use kitetrail_core::{
     fleet::{Fleet, WorkerInfo},
-    table::{CommitAnswer, Key, Prefix, Row, Transaction},
+    table::{CommitOutcome, KeyPrefix, Row, RowKey, Transaction},
     worker::{SyncReply, SyncRequest},
 };
 
@@ -14,15 +14,15 @@
 /// The transactional table.
 pub trait TableService {
     /// The row of a name, or `None` if there is none.
-    fn read(&self, key: &Key) -> impl Future<Output = Result<Option<Row>, PlatformError>>;
+    fn read(&self, key: &RowKey) -> impl Future<Output = Result<Option<Row>, PlatformError>>;
 
     /// All rows whose names start alike, in order.
-    fn scan(&self, prefix: &Prefix) -> impl Future<Output = Result<Vec<Row>, PlatformError>>;
+    fn scan(&self, prefix: &KeyPrefix) -> impl Future<Output = Result<Vec<Row>, PlatformError>>;
 
     /// Sends a transaction.
     ///
-    /// Every doubt about its effect is [`CommitAnswer::Unknown`].
-    fn commit(&self, transaction: &Transaction) -> impl Future<Output = CommitAnswer>;
+    /// Every doubt about its effect is [`CommitOutcome::Unknown`].
+    fn commit(&self, transaction: &Transaction) -> impl Future<Output = CommitOutcome>;
 }
 
 /// The object store.
--- a/crates/kitetrail-policy/src/evaluate.rs
+++ b/crates/kitetrail-policy/src/evaluate.rs
@@ -61,7 +61,7 @@
     previous: &PolicyTable,
     faults: &mut Vec<PolicyFault>,
 ) -> ClassRule {
-    let default = ClassRule::default_of(task.kind);
+    let default = ClassRule::default_for(task.kind);
     let last_good = previous.rule(&task.class, task.kind);
     let mut note = |function, cause| faults.push(PolicyFault::new(function, &task.class, cause));
     let rank = match program.rank(task) {
--- a/crates/kitetrail-policy/src/program.rs
+++ b/crates/kitetrail-policy/src/program.rs
@@ -2,8 +2,8 @@
 
 use kitetrail_core::{
     TaskClass, TeamId,
-    placement::Sacrifice,
-    task::{Kind, Spec},
+    placement::AllowedRelief,
+    task::{Spec, SpecKind},
 };
 use rhai::{AST, Dynamic, Engine, Map, Position, Scope};
 
@@ -27,7 +27,7 @@
     /// Its class.
     pub class: TaskClass,
     /// Its kind.
-    pub kind: Kind,
+    pub kind: SpecKind,
     /// The team that owns it.
     pub team: TeamId,
 }
@@ -83,14 +83,14 @@
     }
 
     /// What may be done to a task under pressure. `None` if the policy doesn't say.
-    pub fn sacrifice(&self, task: &TaskFacts) -> Result<Option<Sacrifice>, String> {
+    pub fn sacrifice(&self, task: &TaskFacts) -> Result<Option<AllowedRelief>, String> {
         let Some(answer) = self.ask("sacrifice", [task.to_map().into()])? else {
             return Ok(None);
         };
         match answer.into_string().as_deref() {
-            Ok("never") => Ok(Some(Sacrifice::Never)),
-            Ok("throttle") => Ok(Some(Sacrifice::Throttle)),
-            Ok("evict") => Ok(Some(Sacrifice::Evict)),
+            Ok("never") => Ok(Some(AllowedRelief::Never)),
+            Ok("throttle") => Ok(Some(AllowedRelief::Throttle)),
+            Ok("evict") => Ok(Some(AllowedRelief::Evict)),
             _ => Err("the answer must be \"never\", \"throttle\" or \"evict\"".to_owned()),
         }
     }
--- a/crates/kitetrail-policy/tests/policies.rs
+++ b/crates/kitetrail-policy/tests/policies.rs
@@ -4,23 +4,23 @@
 use std::{collections::BTreeSet, fs, path::Path};
 
 use expect_test::expect_file;
-use kitetrail_core::{placement::PolicyTable, task::Kind};
+use kitetrail_core::{placement::PolicyTable, task::SpecKind};
 use kitetrail_policy::{PolicyError, Program, TaskFacts, evaluate};
 
 const MAX_LINES: usize = 40;
 
-fn facts(class: &str, kind: Kind) -> TaskFacts {
+fn facts(class: &str, kind: SpecKind) -> TaskFacts {
     TaskFacts { class: class.parse().unwrap(), kind, team: "desk".parse().unwrap() }
 }
 
 fn tasks() -> BTreeSet<TaskFacts> {
     BTreeSet::from([
-        facts("validate", Kind::Service),
-        facts("hold", Kind::Service),
-        facts("pack-full", Kind::Job),
-        facts("floor-allocation", Kind::Job),
-        facts("report", Kind::Job),
-        facts("notices", Kind::Watcher),
+        facts("validate", SpecKind::Service),
+        facts("hold", SpecKind::Service),
+        facts("pack-full", SpecKind::Job),
+        facts("floor-allocation", SpecKind::Job),
+        facts("report", SpecKind::Job),
+        facts("notices", SpecKind::Watcher),
     ])
 }
 
@@ -72,7 +72,7 @@
     let mut told = String::new();
     for (what, text) in cases {
         let program = Program::compile(text).unwrap();
-        let one = BTreeSet::from([facts("validate", Kind::Service)]);
+        let one = BTreeSet::from([facts("validate", SpecKind::Service)]);
         let evaluation = evaluate(&program, 2, &one, &previous.table);
         told += &format!("{what}\n");
         for fault in &evaluation.faults {
--- a/crates/kitetrail-standins/examples/compare_placement.rs
+++ b/crates/kitetrail-standins/examples/compare_placement.rs
@@ -12,9 +12,9 @@
 use hdrhistogram::Histogram;
 use kitetrail_core::{
     Resources, SpecName,
-    placement::{ClassRule, FirstFit, InterferenceAware, Placer, PolicyTable, Sacrifice},
+    placement::{AllowedRelief, ClassRule, FirstFit, InterferenceAware, Placer, PolicyTable},
     shard::ShardSettings,
-    task::{Kind, Spec},
+    task::{Spec, SpecKind},
 };
 use kitetrail_standins::worker::{Effects, WorkerSettings};
 use rand::{Rng, SeedableRng};
@@ -56,8 +56,8 @@
 
 fn policy(weighting: &Weighting, relief: bool) -> PolicyTable {
     let never = if relief { weighting.max_slowdown } else { f64::MAX };
-    let service = ClassRule { rank: 100, sacrifice: Sacrifice::Never, max_slowdown: never };
-    let batch = ClassRule { rank: 10, sacrifice: Sacrifice::Evict, max_slowdown: f64::MAX };
+    let service = ClassRule { rank: 100, sacrifice: AllowedRelief::Never, max_slowdown: never };
+    let batch = ClassRule { rank: 10, sacrifice: AllowedRelief::Evict, max_slowdown: f64::MAX };
     let services = ["validate", "hold"].map(|name| (name, service.clone()));
     let batch = BATCH.map(|name| (name, batch.clone()));
     let rules = services.into_iter().chain(batch);
@@ -77,7 +77,7 @@
     }
     let of_class = |(class, count): (&str, u32)| {
         let run_ms = rng.random_range(10_000..30_000);
-        let named = spec(&format!("{class}-{number}"), Kind::Job, count.max(1), run_ms);
+        let named = spec(&format!("{class}-{number}"), SpecKind::Job, count.max(1), run_ms);
         Spec { class: class.parse().unwrap(), ..named }
     };
     BATCH.into_iter().zip(counts).map(of_class).collect()
@@ -91,7 +91,7 @@
     let mut world = World::with(5, 1, WORKERS, ShardSettings::default(), placer, workers);
     for name in ["validate", "hold"] {
         let size = Resources::new(4_000, 4_096, 0);
-        world.submit(Spec { size, ..spec(name, Kind::Service, 6, 0) });
+        world.submit(Spec { size, ..spec(name, SpecKind::Service, 6, 0) });
     }
     world.run_ms(3_000);
     let mut latency_us = Histogram::<u64>::new(3).unwrap();
--- a/crates/kitetrail-standins/examples/table_writes.rs
+++ b/crates/kitetrail-standins/examples/table_writes.rs
@@ -11,7 +11,7 @@
     Resources,
     placement::InterferenceAware,
     shard::ShardSettings,
-    task::{Kind, Spec},
+    task::{Spec, SpecKind},
 };
 use kitetrail_standins::worker::{Effects, WorkerSettings};
 use world::{World, spec, worker_settings};
@@ -42,7 +42,7 @@
             if tasks > 0 {
                 let name = format!("packs-{second}");
                 let size = Resources::new(500, 512, 0);
-                world.submit(Spec { size, ..spec(&name, Kind::Job, tasks, 5_000) });
+                world.submit(Spec { size, ..spec(&name, SpecKind::Job, tasks, 5_000) });
             }
             world.run_ms(1_000);
         }
--- a/crates/kitetrail-standins/src/table.rs
+++ b/crates/kitetrail-standins/src/table.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, Request, StatusCode, body::Incoming};
 use kitetrail_core::{
     OpId, Version,
-    table::{CommitAnswer, Condition, Key},
+    table::{CommitOutcome, Condition, RowKey},
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OpaqueRow {
     /// Its name.
-    pub key: Key,
+    pub key: RowKey,
     /// Its version.
     pub version: Version,
     /// The write that gave it this version.
@@ -47,14 +47,14 @@
 
 #[derive(Debug, Clone, Deserialize)]
 struct OpaqueWrite {
-    key: Key,
+    key: RowKey,
     record: Option<Value>,
 }
 
 /// The rows and how they change.
 #[derive(Debug, Default)]
 pub struct TableModel {
-    rows: BTreeMap<Key, OpaqueRow>,
+    rows: BTreeMap<RowKey, OpaqueRow>,
     version: Version,
     /// How many reads were asked.
     pub reads: u64,
@@ -68,7 +68,7 @@
     /// The row of a name.
     pub fn read(&mut self, key: &str) -> Option<&OpaqueRow> {
         self.reads += 1;
-        self.rows.get(&Key::from_name(key))
+        self.rows.get(&RowKey::from_name(key))
     }
 
     /// All rows whose names start alike.
@@ -79,13 +79,13 @@
     }
 
     /// Carries a transaction out if all its conditions hold.
-    pub fn commit(&mut self, transaction: OpaqueTransaction) -> CommitAnswer {
+    pub fn commit(&mut self, transaction: OpaqueTransaction) -> CommitOutcome {
         let holds = |condition: &Condition| {
             let version = self.rows.get(&condition.key).map(|row| row.version);
             version.unwrap_or_default() == condition.version
         };
         if !transaction.conditions.iter().all(holds) {
-            return CommitAnswer::Conflict;
+            return CommitOutcome::Conflict;
         }
         self.version = self.version.next();
         self.commits += 1;
@@ -101,7 +101,7 @@
                 }
             }
         }
-        CommitAnswer::Committed(self.version)
+        CommitOutcome::Committed(self.version)
     }
 }
 
@@ -207,8 +207,8 @@
         return None;
     }
     match answer {
-        CommitAnswer::Committed(version) => json(&serde_json::json!({ "version": version })),
-        CommitAnswer::Conflict | CommitAnswer::Unknown => {
+        CommitOutcome::Committed(version) => json(&serde_json::json!({ "version": version })),
+        CommitOutcome::Conflict | CommitOutcome::Unknown => {
             text(StatusCode::CONFLICT, "a condition does not hold")
         }
     }
--- a/crates/kitetrail-standins/src/worker/model.rs
+++ b/crates/kitetrail-standins/src/worker/model.rs
@@ -4,8 +4,11 @@
 
 use kitetrail_core::{
     Attempt, Epoch, Resources, ShardId, SpecName, TaskClass, TaskId,
-    task::Kind,
-    worker::{Order, Phase, SyncReply, SyncRequest, TaskReport, UsageSample, Want, Wants},
+    task::SpecKind,
+    worker::{
+        DesiredState, SyncReply, SyncRequest, TaskOrder, TaskPhase, TaskReport, UsageSample,
+        WorkerOrders,
+    },
 };
 
 use super::Effects;
@@ -63,13 +66,13 @@
 }
 
 /// The part of a report whose change is worth telling.
-type Told = (TaskId, Attempt, Phase, u64);
+type Told = (TaskId, Attempt, TaskPhase, u64);
 
 #[derive(Debug, Clone)]
 struct Run {
     shard: ShardId,
-    order: Order,
-    phase: Phase,
+    order: TaskOrder,
+    phase: TaskPhase,
     progress_ms: f64,
     checkpoint_ms: u64,
     checkpoint_due_ms: Option<u64>,
@@ -94,7 +97,7 @@
     /// Whether a replica of a service runs here.
     pub fn serves(&self, service: &SpecName) -> bool {
         let mut running = self.running();
-        running.any(|run| run.order.kind == Kind::Service && run.order.task.spec == *service)
+        running.any(|run| run.order.kind == SpecKind::Service && run.order.task.spec == *service)
     }
 
     /// How much slower than alone a service's requests run now.
@@ -104,7 +107,7 @@
     }
 
     /// The tasks that run.
-    pub fn running_tasks(&self) -> impl Iterator<Item = (&TaskId, Attempt, Kind)> {
+    pub fn running_tasks(&self) -> impl Iterator<Item = (&TaskId, Attempt, SpecKind)> {
         self.running().map(|run| (&run.order.task, run.order.attempt, run.order.kind))
     }
 
@@ -145,14 +148,14 @@
     }
 
     fn running(&self) -> impl Iterator<Item = &Run> {
-        self.runs.values().filter(|run| run.phase == Phase::Running)
+        self.runs.values().filter(|run| run.phase == TaskPhase::Running)
     }
 
     fn slowdown(&self, run: &Run) -> f64 {
         let others = self.running().filter(|other| other.order.task != run.order.task);
         let effects = others.map(|other| {
             let full = self.settings.effects.of(&run.order.class, &other.order.class);
-            if other.order.want == Want::Throttle { full * THROTTLED_SPEED } else { full }
+            if other.order.want == DesiredState::Throttle { full * THROTTLED_SPEED } else { full }
         });
         1.0 + effects.sum::<f64>()
     }
@@ -163,22 +166,23 @@
         let speeds: Vec<f64> = self.runs.values().map(|run| 1.0 / self.slowdown(run)).collect();
         let mut ended = Vec::new();
         for ((key, run), speed) in self.runs.iter_mut().zip(speeds) {
-            if run.phase != Phase::Running {
+            if run.phase != TaskPhase::Running {
                 continue;
             }
-            let throttle = if run.order.want == Want::Throttle { THROTTLED_SPEED } else { 1.0 };
+            let throttle =
+                if run.order.want == DesiredState::Throttle { THROTTLED_SPEED } else { 1.0 };
             run.progress_ms += step_ms as f64 * speed * throttle;
             let fails =
                 self.settings.fail_tasks || run.order.class.as_str().starts_with(FAILING_CLASS);
             let phase = match run.checkpoint_due_ms {
-                _ if run.order.lease_until_ms <= now_ms => Phase::Stopped,
-                _ if fails && run.progress_ms >= FAILS_AFTER_MS => Phase::Failed,
+                _ if run.order.lease_until_ms <= now_ms => TaskPhase::Stopped,
+                _ if fails && run.progress_ms >= FAILS_AFTER_MS => TaskPhase::Failed,
                 _ if run.order.work_ms > 0 && run.progress_ms >= run.order.work_ms as f64 => {
-                    Phase::Done
+                    TaskPhase::Done
                 }
                 Some(due_ms) if due_ms <= now_ms => {
                     run.checkpoint_ms = run.progress_ms as u64;
-                    Phase::Stopped
+                    TaskPhase::Stopped
                 }
                 _ => continue,
             };
@@ -190,11 +194,11 @@
         self.measure();
     }
 
-    fn end(&mut self, key: &(TaskId, Attempt), phase: Phase) {
+    fn end(&mut self, key: &(TaskId, Attempt), phase: TaskPhase) {
         let Some(run) = self.runs.get_mut(key) else { return };
         run.phase = phase;
         let (task, attempt) = key.clone();
-        let (done, checkpoint_ms) = (phase == Phase::Done, run.checkpoint_ms);
+        let (done, checkpoint_ms) = (phase == TaskPhase::Done, run.checkpoint_ms);
         let unsaved_ms = (run.progress_ms as u64).saturating_sub(checkpoint_ms);
         let lost_ms = if done { 0 } else { unsaved_ms };
         let event = WorkerEvent::Stop { task, attempt, done, checkpoint_ms, lost_ms };
@@ -228,72 +232,72 @@
 
     fn obey(&mut self, request: &SyncRequest) {
         for settled in &request.settled {
-            if self.runs.get(settled).is_some_and(|run| run.phase != Phase::Running) {
+            if self.runs.get(settled).is_some_and(|run| run.phase != TaskPhase::Running) {
                 self.runs.remove(settled);
             }
         }
         match &request.wants {
-            Wants::Listen => {}
-            Wants::Orders { list, orders } => {
+            WorkerOrders::Listen => {}
+            WorkerOrders::Orders { list, orders } => {
                 self.obey_orders(&request.shard, orders);
                 if let Some(owner) = self.owners.get_mut(&request.shard) {
                     owner.list = *list;
                 }
             }
-            Wants::Renew { list, lease_until_ms } => {
+            WorkerOrders::Renew { list, lease_until_ms } => {
                 let known = self.owners.get(&request.shard).is_some_and(|o| o.list == *list);
                 let runs = self.runs.values_mut().filter(|run| run.shard == request.shard);
-                for run in runs.filter(|run| known && run.phase == Phase::Running) {
+                for run in runs.filter(|run| known && run.phase == TaskPhase::Running) {
                     run.order.lease_until_ms = run.order.lease_until_ms.max(*lease_until_ms);
                 }
             }
         }
     }
 
-    fn obey_orders(&mut self, shard: &ShardId, orders: &[Order]) {
+    fn obey_orders(&mut self, shard: &ShardId, orders: &[TaskOrder]) {
         let named = |task: &TaskId, attempt: Attempt| {
             orders.iter().any(|order| order.task == *task && order.attempt == attempt)
         };
         let unnamed: Vec<_> = self
             .runs
             .iter()
-            .filter(|(_, run)| run.phase == Phase::Running && run.shard == *shard)
+            .filter(|(_, run)| run.phase == TaskPhase::Running && run.shard == *shard)
             .filter(|((task, attempt), _)| !named(task, *attempt))
             .map(|(key, _)| key.clone())
             .collect();
         for key in unnamed {
-            self.end(&key, Phase::Stopped);
+            self.end(&key, TaskPhase::Stopped);
         }
         for order in orders {
             self.obey_order(shard, order);
         }
     }
 
-    fn obey_order(&mut self, shard: &ShardId, order: &Order) {
+    fn obey_order(&mut self, shard: &ShardId, order: &TaskOrder) {
         let key = (order.task.clone(), order.attempt);
         let Some(run) = self.runs.get_mut(&key) else { return self.begin(shard, order) };
-        if run.phase != Phase::Running {
+        if run.phase != TaskPhase::Running {
             return;
         }
         run.order.lease_until_ms = run.order.lease_until_ms.max(order.lease_until_ms);
         run.order.want = order.want;
         match order.want {
-            Want::Stop => self.end(&key, Phase::Stopped),
-            Want::Checkpoint => {
+            DesiredState::Stop => self.end(&key, TaskPhase::Stopped),
+            DesiredState::Checkpoint => {
                 let due_ms = self.now_ms + self.settings.checkpoint_ms;
                 run.checkpoint_due_ms.get_or_insert(due_ms);
             }
-            Want::Run | Want::Throttle => {}
+            DesiredState::Run | DesiredState::Throttle => {}
         }
     }
 
-    fn begin(&mut self, shard: &ShardId, order: &Order) {
-        let runs =
-            matches!(order.want, Want::Run | Want::Throttle) && order.lease_until_ms > self.now_ms;
+    fn begin(&mut self, shard: &ShardId, order: &TaskOrder) {
+        let runs = matches!(order.want, DesiredState::Run | DesiredState::Throttle)
+            && order.lease_until_ms > self.now_ms;
         let run = Run {
             shard: shard.clone(),
             order: order.clone(),
-            phase: if runs { Phase::Running } else { Phase::Stopped },
+            phase: if runs { TaskPhase::Running } else { TaskPhase::Stopped },
             progress_ms: order.resume_ms as f64,
             checkpoint_ms: order.resume_ms,
             checkpoint_due_ms: None,
--- a/crates/kitetrail-standins/tests/golden_session.rs
+++ b/crates/kitetrail-standins/tests/golden_session.rs
@@ -4,15 +4,15 @@
 mod world;
 
 use expect_test::expect_file;
-use kitetrail_core::{shard::ShardSettings, task::Kind};
+use kitetrail_core::{shard::ShardSettings, task::SpecKind};
 use world::{World, spec};
 
 #[test]
 fn a_quiet_session() {
     let mut world = World::new(1, 2, 3, ShardSettings::default());
-    world.submit(spec("validate", Kind::Service, 2, 0));
-    world.submit(spec("packs", Kind::Job, 3, 4_000));
-    world.submit(spec("notices", Kind::Watcher, 1, 0));
+    world.submit(spec("validate", SpecKind::Service, 2, 0));
+    world.submit(spec("packs", SpecKind::Job, 3, 4_000));
+    world.submit(spec("notices", SpecKind::Watcher, 1, 0));
     world.run_ms(8_000);
     world.cancel(&"notices".parse().unwrap());
     world.run_ms(2_000);
@@ -22,8 +22,8 @@
 #[test]
 fn an_owner_is_killed_and_a_worker_restarts() {
     let mut world = World::new(2, 2, 3, ShardSettings::default());
-    world.submit(spec("validate", Kind::Service, 2, 0));
-    world.submit(spec("packs", Kind::Job, 3, 9_000));
+    world.submit(spec("validate", SpecKind::Service, 2, 0));
+    world.submit(spec("packs", SpecKind::Job, 3, 9_000));
     world.run_ms(3_000);
     world.kill_owner(0);
     world.run_ms(6_000);
@@ -38,7 +38,7 @@
 fn a_second_choice_does_not_flap() {
     let mut world = World::new(3, 2, 1, ShardSettings::default());
     world.rerank = false;
-    world.submit(spec("packs", Kind::Job, 1, 2_000));
+    world.submit(spec("packs", SpecKind::Job, 1, 2_000));
     world.run_ms(1_000);
     world.kill_owner(0);
     world.run_ms(120_000);
--- a/crates/kitetrail-standins/tests/placement_failures.rs
+++ b/crates/kitetrail-standins/tests/placement_failures.rs
@@ -11,7 +11,7 @@
     fleet::Liveness,
     placement::{InterferenceAware, Placer, PolicyTable},
     shard::ShardSettings,
-    task::{Ending, Kind, Spec, Stage},
+    task::{Spec, SpecKind, TaskEnding, TaskStage},
 };
 use kitetrail_standins::worker::Effects;
 use world::{Weather, World, spec, worker_settings};
@@ -34,7 +34,7 @@
 fn a_new_owner_waits_for_what_the_older_one_may_renew() {
     let long = ShardSettings::builder().detached_renewal(DETACHED * 3).build();
     let mut world = World::new(7, 2, 2, long);
-    world.submit(spec("notices", Kind::Watcher, 1, 0));
+    world.submit(spec("notices", SpecKind::Watcher, 1, 0));
     world.run_ms(2_000);
     let (worker, _) = world.where_runs("notices:0")[0];
     world.cut(1, 0);
@@ -55,7 +55,7 @@
 #[test]
 fn running_work_outlives_a_table_outage() {
     let mut world = world(2, 2);
-    world.submit(spec("packs", Kind::Job, 4, 12_000));
+    world.submit(spec("packs", SpecKind::Job, 4, 12_000));
     world.run_ms(2_000);
     let starts = world.starts();
     world.weather.table_down = true;
@@ -64,14 +64,14 @@
     world.weather.table_down = false;
     world.run_ms(5_000);
     assert_eq!(world.starts(), starts, "nothing runs again\n{}", world.log);
-    assert!(world.rows().iter().all(|row| row.stage == Stage::Ended(Ending::Done)));
+    assert!(world.rows().iter().all(|row| row.stage == TaskStage::Ended(TaskEnding::Done)));
 }
 
 /// P2: the owner is killed after it committed a placement and before it ordered the start.
 #[test]
 fn an_owner_killed_between_commit_and_start() {
     let mut world = world(2, 2);
-    world.submit(spec("packs", Kind::Job, 2, 2_000));
+    world.submit(spec("packs", SpecKind::Job, 2, 2_000));
     while world.rows().iter().all(|row| row.worker().is_none()) {
         world.run_ms(1);
     }
@@ -84,7 +84,7 @@
 #[test]
 fn an_owner_frozen_past_its_lease() {
     let mut world = world(2, 2);
-    world.submit(spec("packs", Kind::Job, 6, 4_000));
+    world.submit(spec("packs", SpecKind::Job, 6, 4_000));
     world.run_ms(260);
     world.pause_owner(0);
     world.run_ms(8_000);
@@ -101,12 +101,12 @@
 fn an_order_that_arrives_long_after_it_was_sent() {
     let mut world = world(1, 2);
     world.weather = Weather { max_delay_ms: 25_000, ..Weather::calm() };
-    world.submit(spec("packs", Kind::Job, 4, 3_000));
-    world.submit(spec("notices", Kind::Watcher, 2, 0));
+    world.submit(spec("packs", SpecKind::Job, 4, 3_000));
+    world.submit(spec("notices", SpecKind::Watcher, 2, 0));
     world.run_ms(120_000);
     world.weather = Weather::calm();
     world.run_ms(60_000);
-    assert!(world.rows().iter().all(|row| row.stage != Stage::Queued), "{}", world.log);
+    assert!(world.rows().iter().all(|row| row.stage != TaskStage::Queued), "{}", world.log);
 }
 
 /// P2: renewals arrive but their answers are lost, so the owner does not know of them,
@@ -115,7 +115,7 @@
 fn renewals_whose_answers_are_lost() {
     for muted_ms in (1_000..12_000).step_by(500) {
         let mut world = world(1, 3);
-        world.submit(spec("notices", Kind::Watcher, 1, 0));
+        world.submit(spec("notices", SpecKind::Watcher, 1, 0));
         world.run_ms(2_000);
         let (worker, _) = world.where_runs("notices:0")[0];
         world.mute(0, worker);
@@ -132,7 +132,7 @@
 fn most_messages_are_lost() {
     for seed in 0..40 {
         let mut world = World::new(seed, 1, 3, ShardSettings::default());
-        world.submit(spec("notices", Kind::Watcher, 4, 0));
+        world.submit(spec("notices", SpecKind::Watcher, 4, 0));
         world.run_ms(2_000);
         world.weather = Weather { max_delay_ms: 900, lose_percent: 75, ..Weather::calm() };
         world.run_ms(120_000);
@@ -144,7 +144,7 @@
 #[test]
 fn evicted_work_resumes_once_from_its_checkpoint() {
     let mut world = world(1, 2);
-    world.submit(spec("packs", Kind::Job, 1, 8_000));
+    world.submit(spec("packs", SpecKind::Job, 1, 8_000));
     world.run_ms(4_000);
     let (worker, _) = world.where_runs("packs:0")[0];
     world.set_worker_state(worker, Liveness::Leaving);
@@ -162,7 +162,7 @@
 fn an_owner_killed_at_each_step_of_an_eviction() {
     for killed_after_ms in (0..3_000).step_by(50) {
         let mut world = world(2, 2);
-        world.submit(spec("packs", Kind::Job, 1, 8_000));
+        world.submit(spec("packs", SpecKind::Job, 1, 8_000));
         world.run_ms(4_000);
         let (worker, _) = world.where_runs("packs:0")[0];
         world.set_worker_state(worker, Liveness::Leaving);
@@ -179,7 +179,7 @@
 fn a_cancel_at_each_step_of_an_eviction() {
     for cancelled_after_ms in (0..2_000).step_by(50) {
         let mut world = world(1, 2);
-        world.submit(spec("packs", Kind::Job, 1, 60_000));
+        world.submit(spec("packs", SpecKind::Job, 1, 60_000));
         world.run_ms(4_000);
         let (worker, _) = world.where_runs("packs:0")[0];
         world.set_worker_state(worker, Liveness::Leaving);
@@ -187,7 +187,7 @@
         world.cancel(&"packs".parse().unwrap());
         world.run_ms(10_000);
         assert!(world.where_runs("packs:0").is_empty(), "{}", world.log);
-        let rested = world.rows()[0].stage == Stage::Ended(Ending::Cancelled);
+        let rested = world.rows()[0].stage == TaskStage::Ended(TaskEnding::Cancelled);
         assert!(rested, "{cancelled_after_ms}\n{}", world.log);
     }
 }
@@ -198,7 +198,7 @@
 fn more_work_than_room() {
     let mut world = world(1, 3);
     let odd = |name, tasks, cpu, acc| {
-        with_size(spec(name, Kind::Job, tasks, 1_500), Resources::new(cpu, 700, acc))
+        with_size(spec(name, SpecKind::Job, tasks, 1_500), Resources::new(cpu, 700, acc))
     };
     world.submit(odd("odd", 9, 1_700, 0));
     world.submit(odd("tiny", 30, 130, 0));
@@ -215,16 +215,16 @@
     let mut world = world(1, 6);
     world.break_worker(0);
     for number in 0..6 {
-        world.submit(spec(&format!("packs-{number}"), Kind::Job, 2, 1_000));
+        world.submit(spec(&format!("packs-{number}"), SpecKind::Job, 2, 1_000));
     }
-    world.submit(spec("fail-always", Kind::Job, 1, 1_000));
+    world.submit(spec("fail-always", SpecKind::Job, 1, 1_000));
     world.run_ms(60_000);
     for row in world.rows() {
         let expected = match row.spec.name.as_str() {
-            "fail-always" => Ending::Failed,
-            _ => Ending::Done,
+            "fail-always" => TaskEnding::Failed,
+            _ => TaskEnding::Done,
         };
-        assert_eq!(row.stage, Stage::Ended(expected), "{}\n{}", row.id, world.log);
+        assert_eq!(row.stage, TaskStage::Ended(expected), "{}\n{}", row.id, world.log);
     }
     assert!(world.log.contains("rests worker-0"), "{}", world.log);
     assert!(!world.log.contains("rests worker-1"), "{}", world.log);
@@ -234,9 +234,9 @@
 #[test]
 fn urgent_work_starts_at_once() {
     let mut world = world(1, 1);
-    world.submit(spec("packs", Kind::Job, 4, 60_000));
+    world.submit(spec("packs", SpecKind::Job, 4, 60_000));
     world.run_ms(3_000);
-    let urgent = Spec { priority: 250, ..spec("urgent", Kind::Job, 1, 1_000) };
+    let urgent = Spec { priority: 250, ..spec("urgent", SpecKind::Job, 1, 1_000) };
     world.submit(urgent);
     world.run_ms(3_300);
     let started = world.log.contains("starts urgent:0") || !world.where_runs("urgent:0").is_empty();
@@ -249,9 +249,9 @@
     let mut world = world(1, 2);
     world.submit(Spec {
         priority: 100,
-        ..with_size(spec("too-large", Kind::Job, 600, 1_000), Resources::new(9_000, 1_024, 0))
+        ..with_size(spec("too-large", SpecKind::Job, 600, 1_000), Resources::new(9_000, 1_024, 0))
     });
-    world.submit(spec("packs", Kind::Job, 4, 1_000));
+    world.submit(spec("packs", SpecKind::Job, 4, 1_000));
     world.run_ms(5_000);
     assert_eq!(world.completions("packs"), [1; 4], "{}", world.log);
 }
@@ -262,7 +262,7 @@
     let day_ms = 24 * 60 * 60 * 1_000;
     let mut world = world(2, 2);
     world.set_unix_time(10 * day_ms);
-    world.submit(spec("packs", Kind::Job, 4, 1_000));
+    world.submit(spec("packs", SpecKind::Job, 4, 1_000));
     world.run_ms(4_000);
     world.kill_owner(0);
     world.run_ms(6_000);
@@ -282,7 +282,7 @@
     placer.set_policy(PolicyTable { quotas, ..PolicyTable::default() });
     let workers = worker_settings(Effects::default());
     let mut world = World::with(7, 1, 3, ShardSettings::default(), placer, workers);
-    world.submit(spec("packs", Kind::Job, 12, 1_000));
+    world.submit(spec("packs", SpecKind::Job, 12, 1_000));
     for _ in 0..100 {
         world.run_ms(100);
         let running = (0..12).filter(|n| !world.where_runs(&format!("packs:{n}")).is_empty());
@@ -296,7 +296,7 @@
 fn a_cancel_wave_is_one_batch() {
     let mut world = world(1, 3);
     for number in 0..40 {
-        world.submit(spec(&format!("packs-{number}"), Kind::Job, 10, 60_000));
+        world.submit(spec(&format!("packs-{number}"), SpecKind::Job, 10, 60_000));
     }
     world.run_ms(3_000);
     let before = world.commits();
@@ -316,8 +316,8 @@
 #[test]
 fn a_job_that_crashes_its_workers_comes_to_rest() {
     let mut world = world(2, 4);
-    world.submit(spec("bad", Kind::Job, 1, 2_000));
-    world.submit(spec("packs", Kind::Job, 6, 3_000));
+    world.submit(spec("bad", SpecKind::Job, 1, 2_000));
+    world.submit(spec("packs", SpecKind::Job, 6, 3_000));
     let mut crashes = 0;
     for step in 0..12_000 {
         world.run_ms(10);
@@ -335,22 +335,22 @@
     let of =
         |name: &str| rows.iter().filter(|row| row.id.spec.as_str() == name).collect::<Vec<_>>();
     let (bad, packs) = (of("bad"), of("packs"));
-    assert!(bad.iter().all(|row| row.stage == Stage::Ended(Ending::Failed)), "{bad:?}");
-    assert!(packs.iter().all(|row| row.stage == Stage::Ended(Ending::Done)), "{packs:?}");
+    assert!(bad.iter().all(|row| row.stage == TaskStage::Ended(TaskEnding::Failed)), "{bad:?}");
+    assert!(packs.iter().all(|row| row.stage == TaskStage::Ended(TaskEnding::Done)), "{packs:?}");
 }
 
 /// Workers that restart again and again under a long job, which saves its progress, fail nothing.
 #[test]
 fn workers_that_restart_by_themselves_fail_no_job() {
     let mut world = world(1, 4);
-    world.submit(spec("packs", Kind::Job, 8, 20_000));
+    world.submit(spec("packs", SpecKind::Job, 8, 20_000));
     for round in 0..40 {
         world.run_ms(2_300);
         world.restart_worker(round % 4);
     }
     world.run_ms(120_000);
     assert!(
-        world.rows().iter().all(|row| row.stage == Stage::Ended(Ending::Done)),
+        world.rows().iter().all(|row| row.stage == TaskStage::Ended(TaskEnding::Done)),
         "{}",
         world.log
     );
--- a/crates/kitetrail-standins/tests/placement_properties.rs
+++ b/crates/kitetrail-standins/tests/placement_properties.rs
@@ -10,7 +10,7 @@
 use kitetrail_core::{
     fleet::Liveness,
     shard::ShardSettings,
-    task::{Ending, Kind, Stage},
+    task::{SpecKind, TaskEnding, TaskStage},
 };
 use proptest::{
     collection::vec,
@@ -90,7 +90,7 @@
         Fault::RestartWorker(worker) => world.restart_worker(worker),
         Fault::WorkerLeaves(worker, true) => world.set_worker_state(worker, Liveness::Leaving),
         Fault::WorkerLeaves(worker, false) => world.set_worker_state(worker, Liveness::Live),
-        Fault::CancelJob => world.cancel(&world::spec("cancelled", Kind::Job, 1, 0).name),
+        Fault::CancelJob => world.cancel(&world::spec("cancelled", SpecKind::Job, 1, 0).name),
         Fault::Storm(lose_percent, double_percent, max_delay_ms) => {
             let table_down = world.weather.table_down;
             let min_delay_ms = 1;
@@ -118,9 +118,11 @@
 fn check_rest(world: &mut World) {
     for row in world.rows() {
         let well = match (row.spec.kind, &row.stage) {
-            (Kind::Job, Stage::Ended(Ending::Done)) => true,
-            (Kind::Job, Stage::Ended(Ending::Cancelled)) => row.spec.name.as_str() == "cancelled",
-            (Kind::Service | Kind::Watcher, Stage::Placed { .. }) => true,
+            (SpecKind::Job, TaskStage::Ended(TaskEnding::Done)) => true,
+            (SpecKind::Job, TaskStage::Ended(TaskEnding::Cancelled)) => {
+                row.spec.name.as_str() == "cancelled"
+            }
+            (SpecKind::Service | SpecKind::Watcher, TaskStage::Placed { .. }) => true,
             _ => false,
         };
         assert!(well, "{} rests as {:?}\n{}", row.id, row.stage, world.log);
@@ -130,10 +132,10 @@
 
 fn judge(seed: u64, faults: &[(u64, Fault)]) {
     let mut world = World::new(seed, NODES, WORKERS, settings());
-    world.submit(spec("validate", Kind::Service, 3, 0));
-    world.submit(spec("notices", Kind::Watcher, 1, 0));
-    world.submit(spec("packs", Kind::Job, 8, 7_000));
-    world.submit(spec("cancelled", Kind::Job, 2, 15_000));
+    world.submit(spec("validate", SpecKind::Service, 3, 0));
+    world.submit(spec("notices", SpecKind::Watcher, 1, 0));
+    world.submit(spec("packs", SpecKind::Job, 8, 7_000));
+    world.submit(spec("cancelled", SpecKind::Job, 2, 15_000));
     for (after_ms, fault) in faults {
         world.run_ms(*after_ms);
         cause(&mut world, fault);
--- a/crates/kitetrail-standins/tests/world/checks.rs
+++ b/crates/kitetrail-standins/tests/world/checks.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use kitetrail_core::{TaskId, placement::Placer, task::Kind};
+use kitetrail_core::{TaskId, placement::Placer, task::SpecKind};
 use kitetrail_standins::journal::WorkerEvent;
 
 use super::World;
@@ -52,7 +52,7 @@
                 continue;
             }
             for (task, _, kind) in worker.model.running_tasks() {
-                if kind != Kind::Service && places.insert(task, number).is_some() {
+                if kind != SpecKind::Service && places.insert(task, number).is_some() {
                     panic!("P2: {task} runs twice at {}\n{}", self.now_ms - 1_000, self.log);
                 }
             }
--- a/crates/kitetrail-standins/tests/world/faults.rs
+++ b/crates/kitetrail-standins/tests/world/faults.rs
@@ -41,7 +41,7 @@
 
     pub fn drain_owner(&mut self, node: usize) {
         self.note(format!("box-{node} is told to stop"));
-        self.drive(node, Event::Drain);
+        self.drive(node, Event::Stop);
     }
 
     pub fn cut(&mut self, node: usize, worker: usize) {
@@ -101,7 +101,7 @@
     pub fn set_worker_state(&mut self, worker: usize, state: Liveness) {
         self.infos[worker].state = state;
         for node in 0..self.nodes.len() {
-            self.drive(node, Event::FleetSeen(self.infos.clone()));
+            self.drive(node, Event::FleetUpdated(self.infos.clone()));
         }
         self.note(format!("the box list has worker-{worker} as {state:?}"));
     }
--- a/crates/kitetrail-standins/tests/world/mod.rs
+++ b/crates/kitetrail-standins/tests/world/mod.rs
@@ -19,8 +19,8 @@
     fleet::{Liveness, WorkerInfo},
     placement::{InterferenceAware, Placer, ReliefSettings},
     shard::{Action, Event, Shard, ShardSettings},
-    table::{CommitAnswer, Key, Prefix, Record, Transaction, Write},
-    task::{InboxItem, Kind, Spec},
+    table::{CommitOutcome, KeyPrefix, Record, RowKey, Transaction, Write},
+    task::{InboxItem, Spec, SpecKind},
     worker::SyncRequest,
 };
 use kitetrail_standins::{
@@ -260,14 +260,14 @@
     }
 
     fn introduce(&mut self, node: usize) {
-        self.drive(node, Event::Ranked(Some(node)));
-        self.drive(node, Event::FleetSeen(self.infos.clone()));
+        self.drive(node, Event::RankChanged(Some(node)));
+        self.drive(node, Event::FleetUpdated(self.infos.clone()));
     }
 
     fn put_into_inbox(&mut self, item: InboxItem) {
         self.changes += 1;
         let op = OpId::from_change(&format!("change-{}", self.changes));
-        let key = Key::inbox(&self.shard, &op);
+        let key = RowKey::inbox(&self.shard, &op);
         let write = Write { key, record: Some(Record::Inbox { item }) };
         let transaction = Transaction { op, conditions: Vec::new(), writes: vec![write] };
         self.table.commit(opaque(&transaction));
@@ -327,14 +327,14 @@
             Action::Sync(info, request) => {
                 let worker = self.infos.iter().position(|known| known.id == info.id).unwrap();
                 let message = Message::ToWorker { node, run, ask, worker, request };
-                (Event::WorkerSilent(info.id), message)
+                (Event::WorkerDidNotReply(info.id), message)
             }
             action => {
                 let silence = match &action {
                     Action::ReadLease => Event::LeaseReadFailed,
-                    Action::Load => Event::LoadFailed,
+                    Action::ReadTasks => Event::TasksReadFailed,
                     Action::ReadInbox => Event::InboxReadFailed,
-                    _ => Event::CommitAnswered(CommitAnswer::Unknown),
+                    _ => Event::CommitAnswered(CommitOutcome::Unknown),
                 };
                 (silence, Message::ToTable { node, run, ask, action })
             }
@@ -395,7 +395,7 @@
                 continue;
             }
             if self.rerank {
-                self.drive(node, Event::Ranked(Some(rank)));
+                self.drive(node, Event::RankChanged(Some(rank)));
             }
             rank += 1;
             self.drive(node, Event::Tick);
@@ -406,16 +406,16 @@
     fn ask_table(&mut self, action: Action) -> Event {
         match action {
             Action::ReadLease => {
-                let row = self.table.read(Key::lease(&self.shard).as_str()).cloned();
+                let row = self.table.read(RowKey::lease(&self.shard).as_str()).cloned();
                 Event::LeaseRead(row.map(|row| {
                     let record = serde_json::from_value(row.record).unwrap();
                     let Record::Lease(lease) = record else { panic!("not a lease") };
                     (row.version, row.op, lease)
                 }))
             }
-            Action::Load => Event::Loaded(self.rows()),
+            Action::ReadTasks => Event::TasksRead(self.rows()),
             Action::ReadInbox => {
-                let rows = self.table.scan(Prefix::inbox(&self.shard).as_str());
+                let rows = self.table.scan(KeyPrefix::inbox(&self.shard).as_str());
                 let items = rows.into_iter().map(|row| {
                     let record = serde_json::from_value(row.record).unwrap();
                     let Record::Inbox { item } = record else { panic!("not a message") };
@@ -461,7 +461,7 @@
 }
 
 /// A spec of one size, for tests.
-pub fn spec(name: &str, kind: Kind, tasks: u32, run_ms: u64) -> Spec {
+pub fn spec(name: &str, kind: SpecKind, tasks: u32, run_ms: u64) -> Spec {
     Spec::builder()
         .name(name.parse().unwrap())
         .kind(kind)
--- a/crates/kitetrail-standins/tests/world/views.rs
+++ b/crates/kitetrail-standins/tests/world/views.rs
@@ -3,7 +3,7 @@
 use kitetrail_core::{
     Attempt, SpecName,
     placement::Placer,
-    table::{Prefix, Record},
+    table::{KeyPrefix, Record},
     task::TaskRow,
 };
 
@@ -26,7 +26,7 @@
 
     /// The rows of all tasks in the table.
     pub fn rows(&mut self) -> Vec<TaskRow> {
-        let rows = self.table.scan(Prefix::tasks(&self.shard).as_str());
+        let rows = self.table.scan(KeyPrefix::tasks(&self.shard).as_str());
         let rows = rows.into_iter().map(|row| serde_json::from_value(row.record).unwrap());
         rows.filter_map(|record| match record {
             Record::Task(row) => Some(row),
--- a/crates/kitetrail/src/commands.rs
+++ b/crates/kitetrail/src/commands.rs
@@ -11,7 +11,7 @@
 use kitetrail_core::{
     Resources, SpecName,
     config::Configuration,
-    task::{Kind, Spec},
+    task::{Spec, SpecKind},
 };
 use serde_json::{Value, json};
 
@@ -116,9 +116,9 @@
 ) -> Result<String, CliError> {
     match command {
         ServiceCommand::Create { task, replicas } => {
-            create(client, output, Kind::Service, task, replicas, 0).await
+            create(client, output, SpecKind::Service, task, replicas, 0).await
         }
-        ServiceCommand::List => list(client, output, Kind::Service).await,
+        ServiceCommand::List => list(client, output, SpecKind::Service).await,
         ServiceCommand::Show(args) => show(client, output, &args.name).await,
         ServiceCommand::Delete(args) => stop(client, output, args).await,
     }
@@ -127,9 +127,9 @@
 async fn run_job(client: &Client, output: Output, command: JobCommand) -> Result<String, CliError> {
     match command {
         JobCommand::Create { task, tasks, run_ms } => {
-            create(client, output, Kind::Job, task, tasks, run_ms).await
+            create(client, output, SpecKind::Job, task, tasks, run_ms).await
         }
-        JobCommand::List => list(client, output, Kind::Job).await,
+        JobCommand::List => list(client, output, SpecKind::Job).await,
         JobCommand::Show(args) => show(client, output, &args.name).await,
         JobCommand::Cancel(args) => stop(client, output, args).await,
     }
@@ -141,8 +141,10 @@
     command: WatcherCommand,
 ) -> Result<String, CliError> {
     match command {
-        WatcherCommand::Create { task } => create(client, output, Kind::Watcher, task, 1, 0).await,
-        WatcherCommand::List => list(client, output, Kind::Watcher).await,
+        WatcherCommand::Create { task } => {
+            create(client, output, SpecKind::Watcher, task, 1, 0).await
+        }
+        WatcherCommand::List => list(client, output, SpecKind::Watcher).await,
         WatcherCommand::Show(args) => show(client, output, &args.name).await,
         WatcherCommand::Delete(args) => stop(client, output, args).await,
     }
@@ -201,7 +203,7 @@
 async fn create(
     client: &Client,
     output: Output,
-    kind: Kind,
+    kind: SpecKind,
     task: TaskArgs,
     tasks: u32,
     run_ms: u64,
@@ -226,7 +228,7 @@
     Ok(table(output, &client.post("/v1/specs", &body).await?, &SPEC_COLUMNS))
 }
 
-async fn list(client: &Client, output: Output, kind: Kind) -> Result<String, CliError> {
+async fn list(client: &Client, output: Output, kind: SpecKind) -> Result<String, CliError> {
     let specs = client.get(&format!("/v1/specs?kind={kind}")).await?;
     Ok(table(output, &specs, &SPEC_COLUMNS))
 }
--- a/crates/kitetrail/src/policy.rs
+++ b/crates/kitetrail/src/policy.rs
@@ -4,7 +4,7 @@
 
 use kitetrail_core::{
     placement::PolicyTable,
-    task::{Kind, Spec},
+    task::{Spec, SpecKind},
 };
 use kitetrail_policy::{Program, TaskFacts, evaluate};
 use serde_json::{Value, json};
@@ -62,7 +62,7 @@
 
 async fn tasks(client: &Client) -> Result<BTreeSet<TaskFacts>, CliError> {
     let mut tasks = BTreeSet::new();
-    for kind in [Kind::Service, Kind::Job, Kind::Watcher] {
+    for kind in [SpecKind::Service, SpecKind::Job, SpecKind::Watcher] {
         let rows = client.get(&format!("/v1/specs?kind={kind}")).await?;
         for row in rows.as_array().into_iter().flatten() {
             let spec: Result<Spec, _> = serde_json::from_value(row["spec"].clone());
--- a/crates/kitetraild/src/callers/answer.rs
+++ b/crates/kitetraild/src/callers/answer.rs
@@ -8,7 +8,7 @@
     Response, StatusCode,
     header::{HeaderName, HeaderValue, RETRY_AFTER},
 };
-use kitetrail_core::routing::{GivenUp, Outcome, Reason};
+use kitetrail_core::routing::{Outcome, Rejection, RejectionReason};
 use kitetrail_platform::headers;
 
 use super::body::ResponseBody;
@@ -32,11 +32,11 @@
 }
 
 /// Returns the final response to a request that the router ended without an answer.
-pub fn routing_failed(failure: GivenUp) -> Response<ResponseBody> {
+pub fn routing_failed(failure: Rejection) -> Response<ResponseBody> {
     let status = match (failure.outcome, failure.reason) {
-        (Outcome::NotRun, Reason::Deadline) => StatusCode::GATEWAY_TIMEOUT,
+        (Outcome::NotRun, RejectionReason::Deadline) => StatusCode::GATEWAY_TIMEOUT,
         (Outcome::NotRun, _) => StatusCode::SERVICE_UNAVAILABLE,
-        (_, Reason::Deadline) => StatusCode::GATEWAY_TIMEOUT,
+        (_, RejectionReason::Deadline) => StatusCode::GATEWAY_TIMEOUT,
         (_, _) => StatusCode::BAD_GATEWAY,
     };
     let body = format!("{}: {}\n", failure.outcome, failure.reason);
--- a/crates/kitetraild/src/callers/claims.rs
+++ b/crates/kitetraild/src/callers/claims.rs
@@ -9,8 +9,8 @@
 
 use kitetrail_core::{
     BoxId, OpId, Version,
-    calls::{self, CallChange, CallKey, ClaimAnswer},
-    table::{CommitAnswer, Transaction},
+    calls::{self, CallChange, CallKey, ClaimResult},
+    table::{CommitOutcome, Transaction},
 };
 use kitetrail_platform::{HttpTable, TableService};
 use tokio::{
@@ -33,7 +33,7 @@
 const MAX_UNRESOLVED_CLAIMS: usize = 10_000;
 
 /// The channel for the answer to a claim.
-type ClaimReply = oneshot::Sender<(ClaimAnswer, Version)>;
+type ClaimReply = oneshot::Sender<(ClaimResult, Version)>;
 
 /// A change that is queued for the next transaction.
 struct PendingChange {
@@ -89,7 +89,7 @@
     /// and valid UTF-8.
     pub fn store_answer(mut self, status: u16, body: Option<&[u8]>) {
         self.may_have_run = true;
-        let short = body.filter(|body| body.len() <= calls::MAX_KEPT_ANSWER_BYTES);
+        let short = body.filter(|body| body.len() <= calls::MAX_STORED_ANSWER_BYTES);
         let body = short.and_then(|body| std::str::from_utf8(body).ok()).map(str::to_owned);
         let change = CallChange::Finish { status, body };
         self.claims.enqueue(self.key.clone(), self.version, change, None);
@@ -121,15 +121,15 @@
     }
 
     /// Claims a call. An error holds the answer for the caller.
-    pub async fn claim(self: &Rc<Self>, key: CallKey) -> Result<Claim, ClaimAnswer> {
+    pub async fn claim(self: &Rc<Self>, key: CallKey) -> Result<Claim, ClaimResult> {
         let (reply, receiver) = oneshot::channel();
         self.enqueue(key.clone(), Version(0), CallChange::Claim, Some(reply));
         match receiver.await {
-            Ok((ClaimAnswer::Granted, version)) => {
+            Ok((ClaimResult::Granted, version)) => {
                 Ok(Claim { claims: Rc::clone(self), key, version, may_have_run: false })
             }
             Ok((answer, _)) => Err(answer),
-            Err(_) => Err(ClaimAnswer::NoTable),
+            Err(_) => Err(ClaimResult::TableUnavailable),
         }
     }
 
@@ -183,11 +183,11 @@
                 .map(|pending| (pending.key.clone(), pending.version, pending.change.clone()))
                 .collect();
             let transaction =
-                calls::transaction(op.clone(), &self.holder, self.incarnation, &changes);
+                calls::build_transaction(op.clone(), &self.holder, self.incarnation, &changes);
             match self.commit_and_resolve(&transaction, &batch).await {
-                CommitAnswer::Committed(version) => return self.complete_batch(batch, version),
-                CommitAnswer::Conflict => batch = self.answer_conflicts(batch, &op).await,
-                CommitAnswer::Unknown => return self.mark_unresolved(batch, &op),
+                CommitOutcome::Committed(version) => return self.complete_batch(batch, version),
+                CommitOutcome::Conflict => batch = self.answer_conflicts(batch, &op).await,
+                CommitOutcome::Unknown => return self.mark_unresolved(batch, &op),
             }
         }
     }
@@ -197,18 +197,18 @@
         &self,
         transaction: &Transaction,
         batch: &[PendingChange],
-    ) -> CommitAnswer {
+    ) -> CommitOutcome {
         let mut answer = self.table.commit(transaction).await;
         let written_change = batch.iter().find(|pending| pending.change != CallChange::Release);
         for _ in 0..RESOLVE_TRIES {
-            if answer != CommitAnswer::Unknown {
+            if answer != CommitOutcome::Unknown {
                 break;
             }
             tokio::time::sleep(RESOLVE_DELAY).await;
-            let Some(written_change) = written_change else { return CommitAnswer::Unknown };
-            match self.table.read(&written_change.key.row()).await {
+            let Some(written_change) = written_change else { return CommitOutcome::Unknown };
+            match self.table.read(&written_change.key.row_key()).await {
                 Ok(Some(row)) if row.op == transaction.op => {
-                    return CommitAnswer::Committed(row.version);
+                    return CommitOutcome::Committed(row.version);
                 }
                 Ok(_) => answer = self.table.commit(transaction).await,
                 Err(_) => {}
@@ -226,7 +226,7 @@
                 continue;
             }
             let Some(reply) = pending.reply else { continue };
-            if reply.send((ClaimAnswer::Granted, version)).is_err() {
+            if reply.send((ClaimResult::Granted, version)).is_err() {
                 self.enqueue(pending.key, version, CallChange::Release, None);
             }
         }
@@ -236,7 +236,7 @@
     async fn answer_conflicts(&self, batch: Vec<PendingChange>, op: &OpId) -> Vec<PendingChange> {
         let mut retryable = Vec::new();
         for pending in batch {
-            let row = self.table.read(&pending.key.row()).await;
+            let row = self.table.read(&pending.key.row_key()).await;
             let Some(reply) = pending.reply else {
                 let version_matches =
                     row.is_ok_and(|row| row.is_some_and(|row| row.version == pending.version));
@@ -248,11 +248,12 @@
             match row {
                 Ok(None) => retryable.push(PendingChange { reply: Some(reply), ..pending }),
                 Ok(Some(row)) => {
-                    let claim_answer = calls::judge_claim(Some(&row), op);
-                    let _ = reply.send((claim_answer.unwrap_or(ClaimAnswer::NoTable), row.version));
+                    let claim_answer = calls::claim_result(Some(&row), op);
+                    let _ = reply
+                        .send((claim_answer.unwrap_or(ClaimResult::TableUnavailable), row.version));
                 }
                 Err(_) => {
-                    let _ = reply.send((ClaimAnswer::NoTable, Version(0)));
+                    let _ = reply.send((ClaimResult::TableUnavailable, Version(0)));
                 }
             }
         }
@@ -264,7 +265,7 @@
         for pending in batch {
             match pending.reply {
                 Some(reply) => {
-                    let _ = reply.send((ClaimAnswer::NoTable, Version(0)));
+                    let _ = reply.send((ClaimResult::TableUnavailable, Version(0)));
                     let mut unresolved = self.unresolved.borrow_mut();
                     if unresolved.len() < MAX_UNRESOLVED_CLAIMS {
                         unresolved.insert(pending.key, op.clone());
@@ -295,8 +296,8 @@
             let unresolved: Vec<(CallKey, OpId)> =
                 self.unresolved.borrow().iter().map(|(k, op)| (k.clone(), op.clone())).collect();
             for (key, op) in unresolved {
-                let Ok(row) = self.table.read(&key.row()).await else { break };
-                if calls::judge_claim(row.as_ref(), &op) == Some(ClaimAnswer::Granted) {
+                let Ok(row) = self.table.read(&key.row_key()).await else { break };
+                if calls::claim_result(row.as_ref(), &op) == Some(ClaimResult::Granted) {
                     let version = row.map(|row| row.version).unwrap_or_default();
                     self.enqueue(key.clone(), version, CallChange::Release, None);
                 }
--- a/crates/kitetraild/src/callers/entry.rs
+++ b/crates/kitetraild/src/callers/entry.rs
@@ -24,7 +24,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use kitetrail_core::{
     Time,
-    routing::{Outcome, RequestNumber, Verdict},
+    routing::{Outcome, RequestId, RoutingDecision},
 };
 use kitetrail_platform::{HttpTable, headers};
 use tokio::{
@@ -69,7 +69,7 @@
     parts: CallerServerParts,
     pool: Pool,
     claims: Rc<Claims>,
-    waiting_requests: RefCell<HashMap<RequestNumber, oneshot::Sender<Verdict>>>,
+    waiting_requests: RefCell<HashMap<RequestId, oneshot::Sender<RoutingDecision>>>,
     next_number: Cell<u64>,
     requests_in_progress: Cell<usize>,
     open_connections: Cell<usize>,
@@ -155,29 +155,29 @@
         self.drain_progress.notify_waiters();
     }
 
-    /// Returns a receiver for the verdict on a request that waits for an endpoint.
-    pub(super) fn register_waiter(&self, number: RequestNumber) -> oneshot::Receiver<Verdict> {
+    /// Returns a receiver for the decision on a request that waits for an endpoint.
+    pub(super) fn register_waiter(&self, number: RequestId) -> oneshot::Receiver<RoutingDecision> {
         let (sender, receiver) = oneshot::channel();
         self.waiting_requests.borrow_mut().insert(number, sender);
         receiver
     }
 
-    /// Removes a request that no longer waits for a verdict.
-    pub(super) fn remove_waiter(&self, number: RequestNumber) {
+    /// Removes a request that no longer waits for a decision.
+    pub(super) fn remove_waiter(&self, number: RequestId) {
         self.waiting_requests.borrow_mut().remove(&number);
     }
 
-    /// Sends a verdict to each waiting request that now has an endpoint.
+    /// Sends a decision to each waiting request that now has an endpoint.
     pub(super) fn dispatch_ready(&self) {
         let ready = self.router().borrow_mut().take_ready(self.now());
         for (number, endpoint) in ready {
-            self.send_verdict(number, Verdict::Send(endpoint));
+            self.send_decision(number, RoutingDecision::Send(endpoint));
         }
     }
 
-    fn send_verdict(&self, number: RequestNumber, verdict: Verdict) {
+    fn send_decision(&self, number: RequestId, decision: RoutingDecision) {
         if let Some(sender) = self.waiting_requests.borrow_mut().remove(&number) {
-            let _ = sender.send(verdict);
+            let _ = sender.send(decision);
         }
     }
 
@@ -195,9 +195,9 @@
     async fn expire(self: Rc<Self>) {
         loop {
             tokio::time::sleep(EXPIRY_INTERVAL).await;
-            let expired = self.router().borrow_mut().expire(self.now());
-            for (number, given_up) in expired {
-                self.send_verdict(number, Verdict::GiveUp(given_up));
+            let expired = self.router().borrow_mut().reject_expired(self.now());
+            for (number, rejection) in expired {
+                self.send_decision(number, RoutingDecision::Reject(rejection));
             }
             self.dispatch_ready();
         }
@@ -278,7 +278,7 @@
                 );
             }
         };
-        let number = RequestNumber(self.next_number.get());
+        let number = RequestId(self.next_number.get());
         self.next_number.set(number.0 + 1);
         let id = call.id.clone().unwrap_or_else(|| self.new_request_id(number));
         let FinalResponse { mut response, summary } = Rc::clone(&self)
@@ -303,7 +303,7 @@
         }
     }
 
-    fn new_request_id(&self, number: RequestNumber) -> String {
+    fn new_request_id(&self, number: RequestId) -> String {
         let Settings { box_id, .. } = &*self.parts.settings;
         format!("{box_id}-{:x}-{}", self.parts.incarnation, number.0)
     }
--- a/crates/kitetraild/src/callers/entry/serving.rs
+++ b/crates/kitetraild/src/callers/entry/serving.rs
@@ -6,8 +6,8 @@
 use hyper::{Response, StatusCode, body::Incoming, header::HeaderName, http::request::Parts};
 use kitetrail_core::{
     Time,
-    calls::ClaimAnswer,
-    routing::{Arrival, EndpointId, Exchange, Outcome, RequestNumber, Verdict},
+    calls::ClaimResult,
+    routing::{EndpointId, Exchange, IncomingRequest, Outcome, RequestId, RoutingDecision},
 };
 use kitetrail_platform::headers;
 
@@ -24,7 +24,7 @@
 impl CallerServer {
     pub(super) async fn handle_call(
         self: Rc<Self>,
-        number: RequestNumber,
+        number: RequestId,
         call: &Call,
         id: String,
         head: Parts,
@@ -45,20 +45,20 @@
                 match tokio::time::timeout(time_left, claim).await {
                     Ok(Ok(claim)) => Some(claim),
                     Ok(Err(answer)) => return claim_refused(answer),
-                    Err(_) => return claim_refused(ClaimAnswer::NoTable),
+                    Err(_) => return claim_refused(ClaimResult::TableUnavailable),
                 }
             }
         };
-        let arrival = Arrival {
+        let incoming_request = IncomingRequest {
             number,
             service: call.service.clone(),
             repeatable: call.repeatable,
             rank: DEFAULT_RANK,
             deadline,
         };
-        let verdict = self.router().borrow_mut().offer(arrival, self.now());
+        let decision = self.router().borrow_mut().route(incoming_request, self.now());
         let in_flight = InFlightRequest::new(Rc::clone(&self), number);
-        self.follow_verdicts(verdict, in_flight, &mut prepared, &mut claim).await
+        self.follow_decisions(decision, in_flight, &mut prepared, &mut claim).await
     }
 
     /// Reads a short body completely, so that it can be sent again. A long body is streamed.
@@ -90,46 +90,46 @@
         }
     }
 
-    /// Follows the router's verdicts until the request has a final response.
-    async fn follow_verdicts(
+    /// Follows the router's decisions until the request has a final response.
+    async fn follow_decisions(
         &self,
-        mut verdict: Verdict,
+        mut decision: RoutingDecision,
         mut in_flight: InFlightRequest,
         prepared: &mut PreparedRequest,
         claim: &mut Option<Claim>,
     ) -> FinalResponse {
         let mut endpoint = None;
         loop {
-            verdict = match verdict {
-                Verdict::Send(id) => {
+            decision = match decision {
+                RoutingDecision::Send(id) => {
                     endpoint = Some(self.router().borrow().endpoint(id).address);
                     match self.send_to_endpoint(id, in_flight, prepared, claim).await {
                         SendResult::Final(response) => return response,
-                        SendResult::Continue(verdict, returned) => {
+                        SendResult::Continue(decision, returned) => {
                             in_flight = returned;
-                            verdict
+                            decision
                         }
                     }
                 }
-                Verdict::Wait => match in_flight.wait().await {
-                    Some(verdict) => verdict,
-                    None => Verdict::Deliver,
+                RoutingDecision::Wait => match in_flight.wait().await {
+                    Some(decision) => decision,
+                    None => RoutingDecision::Forward,
                 },
-                Verdict::GiveUp(given_up) => {
+                RoutingDecision::Reject(rejection) => {
                     in_flight.mark_finished();
-                    if given_up.outcome == Outcome::NotRun
+                    if rejection.outcome == Outcome::NotRun
                         && let Some(claim) = claim
                     {
                         claim.mark_not_run();
                     }
                     let summary = RequestSummary {
-                        outcome: given_up.outcome,
-                        reason: given_up.reason.to_string(),
+                        outcome: rejection.outcome,
+                        reason: rejection.reason.to_string(),
                         endpoint,
                     };
-                    return FinalResponse { response: answer::routing_failed(given_up), summary };
+                    return FinalResponse { response: answer::routing_failed(rejection), summary };
                 }
-                Verdict::Deliver => {
+                RoutingDecision::Forward => {
                     let reason = "nothing to deliver".to_owned();
                     let body = "unknown: the answer was lost\n";
                     let response =
@@ -152,7 +152,7 @@
     ) -> SendResult {
         in_flight.set_endpoint(id);
         let address = self.router().borrow().endpoint(id).address;
-        let max_idle = self.router().borrow().connection_share();
+        let max_idle = self.router().borrow().max_idle_connections();
         let time_left = prepared.deadline.since(self.now());
         let is_streamed = prepared.buffered_body.is_none();
         let Some(body) = self.next_body(prepared) else {
@@ -218,7 +218,7 @@
 /// The result of sending a request once.
 enum SendResult {
     Final(FinalResponse),
-    Continue(Verdict, InFlightRequest),
+    Continue(RoutingDecision, InFlightRequest),
 }
 
 impl SendResult {
@@ -231,16 +231,16 @@
     }
 
     fn continue_with(mut in_flight: InFlightRequest, exchange: Exchange) -> Self {
-        let verdict = in_flight.finish_exchange(exchange);
-        Self::Continue(verdict, in_flight)
+        let decision = in_flight.finish_exchange(exchange);
+        Self::Continue(decision, in_flight)
     }
 
     fn timed_out(in_flight: InFlightRequest, address: SocketAddr) -> Self {
         let reason = "deadline passed at the endpoint".to_owned();
         let summary = RequestSummary { outcome: Outcome::Unknown, reason, endpoint: Some(address) };
         match in_flight.time_out() {
-            Some(given_up) => {
-                Self::Final(FinalResponse { response: answer::routing_failed(given_up), summary })
+            Some(rejection) => {
+                Self::Final(FinalResponse { response: answer::routing_failed(rejection), summary })
             }
             None => {
                 let body = "unknown: deadline passed\n";
@@ -261,25 +261,25 @@
     SendResult::Final(FinalResponse { response, summary })
 }
 
-fn claim_refused(answer: ClaimAnswer) -> FinalResponse {
+fn claim_refused(answer: ClaimResult) -> FinalResponse {
     let summary = |outcome, reason: &str| RequestSummary {
         outcome,
         reason: reason.to_owned(),
         endpoint: None,
     };
     match answer {
-        ClaimAnswer::Ran { status, body } => {
+        ClaimResult::AlreadyRan { status, body } => {
             let outcome = if body.is_some() { Outcome::Done } else { Outcome::Unknown };
             FinalResponse {
                 response: answer::replay(status, body),
                 summary: summary(outcome, "ran before"),
             }
         }
-        ClaimAnswer::Held => FinalResponse {
+        ClaimResult::AlreadyClaimed => FinalResponse {
             response: answer::key_in_use(),
             summary: summary(Outcome::Unknown, "key held"),
         },
-        ClaimAnswer::NoTable | ClaimAnswer::Granted => FinalResponse {
+        ClaimResult::TableUnavailable | ClaimResult::Granted => FinalResponse {
             response: answer::table_unavailable(),
             summary: summary(Outcome::NotRun, "table silent"),
         },
--- a/crates/kitetraild/src/control/operations.rs
+++ b/crates/kitetraild/src/control/operations.rs
@@ -7,8 +7,8 @@
     audit::AuditEntry,
     config::Revision,
     fleet::{Fleet, Liveness, WorkerInfo},
-    table::{CommitAnswer, Condition, Key, Prefix, Record, Row, Transaction, Write},
-    task::{Ending, InboxItem, Kind, Spec, SpecRow, Stage},
+    table::{CommitOutcome, Condition, KeyPrefix, Record, Row, RowKey, Transaction, Write},
+    task::{InboxItem, Spec, SpecKind, SpecRow, TaskEnding, TaskStage},
 };
 use kitetrail_platform::{HttpTable, PlatformError, TableService};
 use kitetrail_policy::Program;
@@ -34,8 +34,8 @@
 
 impl Operations {
     /// Returns all specs of a kind.
-    pub async fn list(&self, kind: Kind) -> Result<Vec<SpecRow>, OperatorError> {
-        let rows = self.table.scan(&Prefix::specs()).await.map_err(unavailable)?;
+    pub async fn list(&self, kind: SpecKind) -> Result<Vec<SpecRow>, OperatorError> {
+        let rows = self.table.scan(&KeyPrefix::specs()).await.map_err(unavailable)?;
         let specs = rows.into_iter().filter_map(spec_from_row).map(|(_, spec)| spec);
         Ok(specs.filter(|row| row.spec.kind == kind).collect())
     }
@@ -46,7 +46,7 @@
         let mut tasks = Vec::new();
         let mut summary = ServiceSummary::default();
         for shard in &spec.shards {
-            let rows = self.table.scan(&Prefix::tasks_of(shard, name)).await;
+            let rows = self.table.scan(&KeyPrefix::spec_tasks(shard, name)).await;
             for row in rows.map_err(unavailable)? {
                 let Record::Task(task) = row.record else { continue };
                 summary.add_task(&task.stage);
@@ -71,7 +71,7 @@
         }
         let shard_tasks = self.divide_among_shards(&spec)?;
         let op = OpId::from_change(&author.change);
-        let key = Key::spec(&spec.name);
+        let key = RowKey::spec(&spec.name);
         let shards = shard_tasks.iter().map(|tasks| tasks.shard.clone()).collect();
         let row = SpecRow { spec: spec.clone(), shards, cancelled: false };
         let mut transaction = Transaction {
@@ -83,7 +83,7 @@
         transaction.writes.push(author.audit_write(action));
         for ShardTasks { shard, first, count } in shard_tasks {
             let item = InboxItem::Submit { spec: spec.clone(), first, count };
-            let key = Key::inbox(&shard, &op);
+            let key = RowKey::inbox(&shard, &op);
             transaction.writes.push(Write { key, record: Some(Record::Inbox { item }) });
         }
         match commit_resolved(&self.table, &transaction, &key).await? {
@@ -107,7 +107,7 @@
         }
         row.cancelled = true;
         let op = OpId::from_change(&author.change);
-        let key = Key::spec(name);
+        let key = RowKey::spec(name);
         let mut transaction = Transaction {
             op: op.clone(),
             conditions: vec![Condition { key: key.clone(), version }],
@@ -116,7 +116,7 @@
         transaction.writes.push(author.audit_write(format!("cancel {} {name}", row.spec.kind)));
         for shard in &row.shards {
             let item = InboxItem::Cancel { spec: name.clone() };
-            let key = Key::inbox(shard, &op);
+            let key = RowKey::inbox(shard, &op);
             transaction.writes.push(Write { key, record: Some(Record::Inbox { item }) });
         }
         match commit_resolved(&self.table, &transaction, &key).await? {
@@ -129,7 +129,7 @@
 
     /// Returns all configuration revisions, oldest first.
     pub async fn history(&self) -> Result<Vec<Revision>, OperatorError> {
-        let rows = self.table.scan(&Prefix::config_revisions()).await.map_err(unavailable)?;
+        let rows = self.table.scan(&KeyPrefix::config_revisions()).await.map_err(unavailable)?;
         Ok(rows.into_iter().filter_map(revision_from_row).collect())
     }
 
@@ -138,7 +138,7 @@
         check_change_id(&new.change)?;
         Program::compile(&new.configuration.policy)
             .map_err(|error| invalid(format!("the policy is invalid: {error}")))?;
-        let head = self.table.read(&Key::config_head()).await.map_err(unavailable)?;
+        let head = self.table.read(&RowKey::config_head()).await.map_err(unavailable)?;
         let (version, number) = match &head {
             Some(Row { version, record: Record::ConfigHead { revision }, .. }) => {
                 (*version, *revision)
@@ -155,8 +155,8 @@
         let NewConfiguration { change, author: who, configuration, .. } = new;
         let author = Author { who: who.clone(), team: None, change: change.clone() };
         let revision = Revision { number: number + 1, author: who, change, configuration };
-        let key = Key::config_head();
-        let name = Key::config_revision(revision.number);
+        let key = RowKey::config_head();
+        let name = RowKey::config_revision(revision.number);
         let head = Record::ConfigHead { revision: revision.number };
         let transaction = Transaction {
             op: OpId::from_change(&revision.change),
@@ -175,7 +175,7 @@
 
     /// Returns all recorded changes, oldest first.
     pub async fn audit(&self) -> Result<Vec<AuditEntry>, OperatorError> {
-        let rows = self.table.scan(&Prefix::audit()).await.map_err(unavailable)?;
+        let rows = self.table.scan(&KeyPrefix::audit()).await.map_err(unavailable)?;
         let entries = rows.into_iter().filter_map(|row| match row.record {
             Record::Audit(entry) => Some(entry),
             _ => None,
@@ -184,7 +184,7 @@
     }
 
     async fn revision(&self, number: u64) -> Result<Option<Revision>, OperatorError> {
-        let row = self.table.read(&Key::config_revision(number)).await.map_err(unavailable)?;
+        let row = self.table.read(&RowKey::config_revision(number)).await.map_err(unavailable)?;
         Ok(row.and_then(revision_from_row))
     }
 
@@ -202,7 +202,7 @@
     }
 
     async fn find(&self, name: &SpecName) -> Result<(Version, SpecRow), OperatorError> {
-        let row = self.table.read(&Key::spec(name)).await.map_err(unavailable)?;
+        let row = self.table.read(&RowKey::spec(name)).await.map_err(unavailable)?;
         row.and_then(spec_from_row).ok_or_else(|| OperatorError::NotFound {
             message: format!("there is no service, job or watcher named `{name}`"),
         })
@@ -280,16 +280,16 @@
 async fn commit_resolved(
     table: &HttpTable,
     transaction: &Transaction,
-    key: &Key,
+    key: &RowKey,
 ) -> Result<CommitResult, OperatorError> {
     for _ in 0..RESOLVE_TRIES {
         let answer = table.commit(transaction).await;
-        if let CommitAnswer::Committed(_) = answer {
+        if let CommitOutcome::Committed(_) = answer {
             return Ok(CommitResult::Committed);
         }
         match table.read(key).await {
             Ok(Some(row)) if row.op == transaction.op => return Ok(CommitResult::Committed),
-            Ok(_) if answer == CommitAnswer::Conflict => return Ok(CommitResult::Conflict),
+            Ok(_) if answer == CommitOutcome::Conflict => return Ok(CommitResult::Conflict),
             Ok(_) | Err(_) => tokio::time::sleep(RESOLVE_DELAY).await,
         }
     }
@@ -301,13 +301,13 @@
     })
 }
 
-fn stage_name(stage: &Stage) -> &'static str {
+fn stage_name(stage: &TaskStage) -> &'static str {
     match stage {
-        Stage::Queued => "queued",
-        Stage::Placed { .. } => "placed",
-        Stage::Ended(Ending::Done) => "done",
-        Stage::Ended(Ending::Failed) => "failed",
-        Stage::Ended(Ending::Cancelled) => "cancelled",
+        TaskStage::Queued => "queued",
+        TaskStage::Placed { .. } => "placed",
+        TaskStage::Ended(TaskEnding::Done) => "done",
+        TaskStage::Ended(TaskEnding::Failed) => "failed",
+        TaskStage::Ended(TaskEnding::Cancelled) => "cancelled",
     }
 }
 
--- a/crates/kitetraild/src/control/placer.rs
+++ b/crates/kitetraild/src/control/placer.rs
@@ -2,7 +2,9 @@
 
 use kitetrail_core::{
     TaskClass,
-    placement::{Band, Candidate, Choice, FirstFit, InterferenceAware, Placer, PolicyTable},
+    placement::{
+        Choice, FirstFit, InterferenceAware, LoadBand, PlacementCandidate, Placer, PolicyTable,
+    },
     task::TaskRow,
     worker::UsageSample,
 };
@@ -31,24 +33,24 @@
 }
 
 impl Placer for ChosenPlacer {
-    fn choose(&self, task: &TaskRow, candidates: &[Candidate<'_>]) -> Option<Choice> {
+    fn choose(&self, task: &TaskRow, candidates: &[PlacementCandidate<'_>]) -> Option<Choice> {
         match self {
             Self::InterferenceAware(placer) => placer.choose(task, candidates),
             Self::FirstFit(placer) => placer.choose(task, candidates),
         }
     }
 
-    fn observe(&mut self, sample: &UsageSample, band: Band) {
+    fn observe(&mut self, sample: &UsageSample, band: LoadBand) {
         match self {
             Self::InterferenceAware(placer) => placer.observe(sample, band),
             Self::FirstFit(placer) => placer.observe(sample, band),
         }
     }
 
-    fn blame(&self, victim: &TaskClass, beside: &TaskClass, band: Band) -> f64 {
+    fn expected_effect(&self, victim: &TaskClass, beside: &TaskClass, band: LoadBand) -> f64 {
         match self {
-            Self::InterferenceAware(placer) => placer.blame(victim, beside, band),
-            Self::FirstFit(placer) => placer.blame(victim, beside, band),
+            Self::InterferenceAware(placer) => placer.expected_effect(victim, beside, band),
+            Self::FirstFit(placer) => placer.expected_effect(victim, beside, band),
         }
     }
 
--- a/crates/kitetraild/src/control/requests.rs
+++ b/crates/kitetraild/src/control/requests.rs
@@ -9,8 +9,8 @@
     fleet::Fleet,
     routing::ServiceView,
     shard::ShardView,
-    table::{Key, Record, Write},
-    task::{Ending, Kind, Spec, SpecRow, Stage},
+    table::{Record, RowKey, Write},
+    task::{Spec, SpecKind, SpecRow, TaskEnding, TaskStage},
 };
 use serde::Serialize;
 use thiserror::Error;
@@ -77,7 +77,7 @@
     /// Asks for the box list that this box last read.
     Boxes(Reply<Fleet>),
     /// Asks for all specs of a kind.
-    List(Kind, Reply<Vec<SpecRow>>),
+    List(SpecKind, Reply<Vec<SpecRow>>),
     /// Asks for a spec and its tasks.
     Show(SpecName, Reply<SpecStatus>),
     /// Creates a spec.
@@ -123,7 +123,7 @@
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let at_unix_ms = since_epoch.as_millis() as u64;
         let (who, change) = (self.who.clone(), self.change.clone());
-        let key = Key::audit(at_unix_ms, &change);
+        let key = RowKey::audit(at_unix_ms, &change);
         let entry = AuditEntry { at_unix_ms, who, change, action };
         Write { key, record: Some(Record::Audit(entry)) }
     }
@@ -215,13 +215,13 @@
 
 impl ServiceSummary {
     /// Adds a task at a stage to the counts.
-    pub(super) fn add_task(&mut self, stage: &Stage) {
+    pub(super) fn add_task(&mut self, stage: &TaskStage) {
         let count = match stage {
-            Stage::Queued => &mut self.queued,
-            Stage::Placed { .. } => &mut self.placed,
-            Stage::Ended(Ending::Done) => &mut self.done,
-            Stage::Ended(Ending::Failed) => &mut self.failed,
-            Stage::Ended(Ending::Cancelled) => &mut self.cancelled,
+            TaskStage::Queued => &mut self.queued,
+            TaskStage::Placed { .. } => &mut self.placed,
+            TaskStage::Ended(TaskEnding::Done) => &mut self.done,
+            TaskStage::Ended(TaskEnding::Failed) => &mut self.failed,
+            TaskStage::Ended(TaskEnding::Cancelled) => &mut self.cancelled,
         };
         *count += 1;
     }
--- a/crates/kitetraild/src/control/shard_io.rs
+++ b/crates/kitetraild/src/control/shard_io.rs
@@ -5,7 +5,7 @@
 use kitetrail_core::{
     OpId, ShardId, Version,
     shard::{Action, Decision, Event, LeaseRow},
-    table::{CommitAnswer, Key, Prefix, Record, Row},
+    table::{CommitOutcome, KeyPrefix, Record, Row, RowKey},
     task::{InboxItem, TaskRow},
 };
 use kitetrail_platform::{HttpTable, HttpWorkers, PlatformError, TableService, Worker};
@@ -42,33 +42,33 @@
         log::info!("place: shard {shard}: {decision}");
         self.metrics.record_decision(match decision {
             Decision::TookOver(_) => "took-over",
-            Decision::HandedBack(_) => "handed-back",
+            Decision::Released(_) => "handed-back",
             Decision::SteppedDown(_) => "stepped-down",
             Decision::Placed { .. } => "placed",
             Decision::Requeued { .. } => "requeued",
-            Decision::Relieved { .. } => "relieved",
+            Decision::WantChanged { .. } => "relieved",
             Decision::Ended { .. } => "ended",
             Decision::Quarantined { .. } => "quarantined",
-            Decision::Detached => "detached",
-            Decision::Attached => "attached",
+            Decision::TableUnreachable => "detached",
+            Decision::TableReachable => "attached",
         });
     }
 
     async fn perform(&self, shard: &ShardId, action: Action) -> Event {
         match action {
-            Action::ReadLease => match self.table.read(&Key::lease(shard)).await {
+            Action::ReadLease => match self.table.read(&RowKey::lease(shard)).await {
                 Ok(row) => Event::LeaseRead(row.and_then(lease_from_row)),
                 Err(error) => {
                     log_failure(shard, "the lease can't be read", error, Event::LeaseReadFailed)
                 }
             },
-            Action::Load => match self.table.scan(&Prefix::tasks(shard)).await {
-                Ok(rows) => Event::Loaded(rows.into_iter().filter_map(task_from_row).collect()),
+            Action::ReadTasks => match self.table.scan(&KeyPrefix::tasks(shard)).await {
+                Ok(rows) => Event::TasksRead(rows.into_iter().filter_map(task_from_row).collect()),
                 Err(error) => {
-                    log_failure(shard, "the tasks can't be read", error, Event::LoadFailed)
+                    log_failure(shard, "the tasks can't be read", error, Event::TasksReadFailed)
                 }
             },
-            Action::ReadInbox => match self.table.scan(&Prefix::inbox(shard)).await {
+            Action::ReadInbox => match self.table.scan(&KeyPrefix::inbox(shard)).await {
                 Ok(rows) => {
                     Event::InboxRead(rows.into_iter().filter_map(inbox_item_from_row).collect())
                 }
@@ -79,16 +79,16 @@
             Action::Commit(transaction) => {
                 let answer = self.table.commit(&transaction).await;
                 self.metrics.record_commit(match answer {
-                    CommitAnswer::Committed(_) => "committed",
-                    CommitAnswer::Conflict => "conflict",
-                    CommitAnswer::Unknown => "unknown",
+                    CommitOutcome::Committed(_) => "committed",
+                    CommitOutcome::Conflict => "conflict",
+                    CommitOutcome::Unknown => "unknown",
                 });
                 Event::CommitAnswered(answer)
             }
             Action::Sync(worker, request) => match self.workers.sync(&worker, &request).await {
                 Ok(reply) => Event::WorkerReplied(worker.id, reply),
                 Err(error) => {
-                    let event = Event::WorkerSilent(worker.id.clone());
+                    let event = Event::WorkerDidNotReply(worker.id.clone());
                     log_failure(
                         shard,
                         &format!("worker {} does not answer", worker.id),
@@ -121,7 +121,7 @@
     }
 }
 
-fn inbox_item_from_row(row: Row) -> Option<(Key, Version, InboxItem)> {
+fn inbox_item_from_row(row: Row) -> Option<(RowKey, Version, InboxItem)> {
     match row.record {
         Record::Inbox { item } => Some((row.key, row.version, item)),
         _ => None,
