--- a/crates/kitetraild/src/control/state.rs
+++ b/crates/kitetraild/src/control/state.rs
@@ -229,7 +229,7 @@
     fn set_fleet(&mut self, fleet: Fleet) {
         let now = self.clock.now();
         let racks_per_shard = self.settings.shards.racks_per_shard;
-        self.membership.set_listed(fleet.boxes.clone());
+        self.membership.set_box_list(fleet.boxes.clone());
         let mut by_shard: BTreeMap<ShardId, Vec<_>> = BTreeMap::new();
         for worker in &fleet.workers {
             by_shard.entry(worker.shard(racks_per_shard)).or_default().push(worker.clone());
@@ -242,7 +242,7 @@
                 let shard = self.new_shard(&id);
                 self.shards.insert(id.clone(), shard);
             }
-            self.handle_shard_event(&id, Event::FleetSeen(workers));
+            self.handle_shard_event(&id, Event::FleetUpdated(workers));
         }
         self.fleet = Some(fleet);
     }
@@ -267,7 +267,7 @@
         log::info!("control: releasing all shards");
         let ids: Vec<ShardId> = self.shards.keys().cloned().collect();
         for id in ids {
-            self.handle_shard_event(&id, Event::Drain);
+            self.handle_shard_event(&id, Event::Stop);
         }
         self.begin_heartbeat_round(self.clock.now());
     }
--- a/crates/kitetraild/src/control/state/answers.rs
+++ b/crates/kitetraild/src/control/state/answers.rs
@@ -109,9 +109,9 @@
             box_id: self.settings.box_id.clone(),
             revision: self.configuration.number(),
             shards: self.shards.values().map(|shard| shard.view(now)).collect(),
-            services: self.router.borrow().views(now),
+            services: self.router.borrow().service_views(now),
             boxes_up: members.filter(|id| self.membership.is_up(id, now)).cloned().collect(),
-            requests: self.router.borrow().requests(),
+            requests: self.router.borrow().request_count(),
         }
     }
 
@@ -126,7 +126,11 @@
                 } else {
                     member.heartbeat.revision
                 },
-                age_ms: if is_self { 0 } else { now.since(member.grew_at).as_millis() as u64 },
+                age_ms: if is_self {
+                    0
+                } else {
+                    now.since(member.heartbeat_advanced_at).as_millis() as u64
+                },
                 up: self.membership.is_up(&box_id, now),
                 box_id,
             }
--- a/crates/kitetraild/src/control/state/gossip.rs
+++ b/crates/kitetraild/src/control/state/gossip.rs
@@ -37,7 +37,7 @@
     /// Exchanges heartbeats with a few peers and ranks the owners of shards.
     pub(super) fn begin_heartbeat_round(&mut self, now: Time) {
         let revision = self.configuration.number();
-        let peers = self.membership.begin_round(self.draining, revision, now);
+        let peers = self.membership.start_gossip_round(self.draining, revision, now);
         let view = self.view();
         for info in peers {
             let (peers, view, sender) = (Rc::clone(&self.peers), view.clone(), self.sender.clone());
@@ -53,25 +53,25 @@
                 }
             });
         }
-        let (boxes, position) = self.membership.place(now);
+        let (boxes, position) = self.membership.local_rank(now);
         self.router.borrow_mut().set_boxes(boxes, position);
         self.rank_shards(now);
     }
 
     pub(super) fn rank_shards(&mut self, now: Time) {
         let ids: BTreeSet<ShardId> = self.shards.keys().cloned().collect();
-        let owners = self.membership.owners(&ids, now);
+        let owners = self.membership.rank_owners(&ids, now);
         for id in ids {
             let ranked = owners.get(&id);
             let rank = ranked
                 .and_then(|boxes| boxes.iter().position(|owner| *owner == self.settings.box_id));
-            self.handle_shard_event(&id, Event::Ranked(rank));
+            self.handle_shard_event(&id, Event::RankChanged(rank));
         }
     }
 
     pub(super) fn view(&self) -> peer::View {
         let heartbeats = self.membership.heartbeats().into_iter().map(Into::into).collect();
-        let sets = self.router.borrow().sets();
+        let sets = self.router.borrow().endpoint_sets();
         let sets = sets.into_iter().map(|set| peer::SetDigest {
             shard: set.shard.to_string(),
             epoch: set.epoch.0,
@@ -103,7 +103,7 @@
         let known: BTreeMap<String, (u64, u64)> = self
             .router
             .borrow()
-            .sets()
+            .endpoint_sets()
             .into_iter()
             .map(|set| (set.shard.to_string(), (set.epoch.0, set.sequence)))
             .collect();
@@ -141,7 +141,7 @@
             },
             PeerMessage::Wake(shard) => {
                 if let Ok(shard) = shard.parse::<ShardId>() {
-                    self.handle_shard_event(&shard, Event::Woken);
+                    self.handle_shard_event(&shard, Event::InboxChanged);
                 }
             }
             PeerMessage::Announce(revision) => match Revision::try_from(revision) {
@@ -155,7 +155,7 @@
     }
 
     pub(super) fn knowledge(&self) -> peer::Knowledge {
-        let sets = self.router.borrow().sets();
+        let sets = self.router.borrow().endpoint_sets();
         let revision = self.configuration.revision();
         peer::Knowledge {
             endpoint_sets: sets.into_iter().map(Into::into).collect(),
--- a/crates/kitetraild/src/control/state/revision.rs
+++ b/crates/kitetraild/src/control/state/revision.rs
@@ -5,7 +5,7 @@
 use kitetrail_core::{
     config::Revision,
     shard::Shard,
-    table::{Key, Record},
+    table::{Record, RowKey},
 };
 use kitetrail_platform::TableService;
 use kitetrail_policy::{Program, TaskFacts, evaluate};
@@ -20,7 +20,7 @@
         let known_number = self.configuration.number();
         let report_missing = !self.configuration_known;
         tokio::task::spawn_local(async move {
-            let head = match table.read(&Key::config_head()).await {
+            let head = match table.read(&RowKey::config_head()).await {
                 Ok(head) => head,
                 Err(error) => return log::debug!("config: the head can't be read: {error}"),
             };
@@ -35,7 +35,7 @@
             if number <= known_number {
                 return;
             }
-            match table.read(&Key::config_revision(number)).await {
+            match table.read(&RowKey::config_revision(number)).await {
                 Ok(row) => {
                     let revision = row.and_then(revision_from_row);
                     let _ = sender.send(ControlMessage::Configuration(revision)).await;
@@ -49,7 +49,7 @@
         self.configuration_known = true;
         let Some(revision) = revision else { return };
         let (number, author) = (revision.number, revision.author.clone());
-        if self.configuration.offer(revision) {
+        if self.configuration.apply_if_newer(revision) {
             log::info!("config: revision {number} by {author} is in force");
             self.refresh_policy();
         }
--- a/crates/kitetraild/src/fleet/evacuation.rs
+++ b/crates/kitetraild/src/fleet/evacuation.rs
@@ -67,8 +67,8 @@
         self.asked_at.set(self.asked_at.get().max(Some(asked_at)));
         let mut known = self.known.borrow_mut();
         let changed = match source {
-            Source::List => known.read(version, changes),
-            Source::Watch => known.follow(version, changes),
+            Source::List => known.replace_all(version, changes),
+            Source::Watch => known.apply_changes(version, changes),
         };
         for EvacuationChange { zone, version, requested } in &changed {
             log::info!(
--- a/crates/kitetraild/src/fleet/front.rs
+++ b/crates/kitetraild/src/fleet/front.rs
@@ -133,7 +133,7 @@
     let host = request.headers().get(HOST).and_then(|host| host.to_str().ok()).unwrap_or("");
     let host = host.split(':').next().unwrap_or("");
     let path = request.uri().path().to_owned();
-    let Some((route, job_text)) = config.route(host, &path) else {
+    let Some((route, job_text)) = config.find_route(host, &path) else {
         log::info!(
             host = host, path = path, config = config.version;
             "front: no queue matches the request"
--- a/crates/kitetraild/src/fleet/owner/mod.rs
+++ b/crates/kitetraild/src/fleet/owner/mod.rs
@@ -250,7 +250,9 @@
         if self.releasing {
             return;
         }
-        if let Some(stronger) = candidates.much_stronger(own_strength, self.shared.clock.now()) {
+        if let Some(stronger) =
+            candidates.much_stronger_candidate(own_strength, self.shared.clock.now())
+        {
             log::info!(
                 peer = stronger.to_string(), own = own_strength.to_string();
                 "owner: makes way for a stronger box"
--- a/crates/kitetraild/src/fleet/ownership.rs
+++ b/crates/kitetraild/src/fleet/ownership.rs
@@ -128,7 +128,7 @@
         Some(_) if owner.released => SUCCESSOR_WAIT,
         _ => Duration::ZERO,
     };
-    let wait = wait.max(shared.settings.strength.claim_wait(owner.strongest));
+    let wait = wait.max(shared.settings.strength.claim_delay(owner.strongest));
     if wait.is_zero() {
         return Ok(false);
     }
--- a/crates/kitetraild/src/fleet/peers/server.rs
+++ b/crates/kitetraild/src/fleet/peers/server.rs
@@ -150,7 +150,7 @@
     let now = shared.clock.now();
     let started_at = now - Duration::from_millis(request.up_ms);
     let strength = BoxStrength(request.strength_workers);
-    candidates.note(address, Candidate { strength, started_at, heard_at: now });
+    candidates.insert(address, Candidate { strength, started_at, last_request_at: now });
 }
 
 /// The gRPC service. It passes each message to the thread of the shared state.
--- a/crates/kitetraild/src/fleet/predecessor.rs
+++ b/crates/kitetraild/src/fleet/predecessor.rs
@@ -26,7 +26,7 @@
     while earlier_owners.get().last_may_renew(shared.clock.now()) {
         if ownership::has_stopped(&shared, &predecessor.row).await {
             let mut known = earlier_owners.get();
-            let stopped_at = known.note_last_stopped(shared.clock.now());
+            let stopped_at = known.record_last_stopped(shared.clock.now());
             earlier_owners.set(known);
             log::info!(epoch = predecessor.row.epoch; "owner: the one before has stopped");
             let _ = owner
--- a/crates/kitetraild/src/operators/api.rs
+++ b/crates/kitetraild/src/operators/api.rs
@@ -4,7 +4,7 @@
 
 use kitetrail_core::{
     SpecName,
-    task::{Kind, Spec},
+    task::{Spec, SpecKind},
 };
 use salvo::{
     Depot, FlowCtrl, Handler, Listener, Request, Response, Router, Server, async_trait,
@@ -262,11 +262,11 @@
         .map_err(|error| invalid(format!("the body is invalid: {error}")))
 }
 
-fn kind_parameter(request: &Request) -> Result<Kind, OperatorError> {
+fn kind_parameter(request: &Request) -> Result<SpecKind, OperatorError> {
     match request.query::<String>("kind").as_deref() {
-        Some("service") => Ok(Kind::Service),
-        Some("job") => Ok(Kind::Job),
-        Some("watcher") => Ok(Kind::Watcher),
+        Some("service") => Ok(SpecKind::Service),
+        Some("job") => Ok(SpecKind::Job),
+        Some("watcher") => Ok(SpecKind::Watcher),
         _ => Err(OperatorError::Invalid {
             message: "add ?kind=service, ?kind=job or ?kind=watcher".to_owned(),
         }),
