--- a/crates/kitetrail-core/src/succession.rs
+++ b/crates/kitetrail-core/src/succession.rs
@@ -16,7 +16,7 @@
 const MICRO_CORES_PER_WORKER: u64 = 450;
 /// The traffic that the owner needs for each worker, in kilobits per second (docs/CAPACITY.md).
 const LINK_KBIT_PER_S_PER_WORKER: u64 = 23;
-/// The share of another box's strength below which a box is weak beside it, in percent. Boxes of the
+/// The share of another box's strength below which a box is weak compared to it, in percent. Boxes of the
 /// same kind do not differ, and those of different kinds differ by a factor of two or more.
 const WEAK_STRENGTH_PERCENT: u32 = 70;
 /// The delay before a weak box claims the ownership of a lost owner, so that a stronger box can
@@ -147,7 +147,7 @@
         recent.into_iter().map(|(key, _)| key).collect()
     }
 
-    /// Returns the best candidate, if an owner of the given strength is weak beside it.
+    /// Returns the best candidate, if an owner of the given strength is weak compared to it.
     pub fn much_stronger_candidate(&self, than: BoxStrength, now: Time) -> Option<K> {
         let first = self.successors(now).into_iter().next()?;
         let candidate = self.boxes.get(&first)?;
