--- a/crates/kitetrail-platform/src/services.rs
+++ b/crates/kitetrail-platform/src/services.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use kitetrail_core::{
     fleet::{Fleet, WorkerInfo},
-    table::{CommitAnswer, Key, Prefix, Row, Transaction},
+    table::{CommitOutcome, KeyPrefix, Row, RowKey, Transaction},
     worker::{SyncReply, SyncRequest},
 };
 
@@ -14,15 +14,15 @@
 /// A transactional table.
 pub trait TableService {
     /// Returns the row with a key, or `None` if it does not exist.
-    fn read(&self, key: &Key) -> impl Future<Output = Result<Option<Row>, PlatformError>>;
+    fn read(&self, key: &RowKey) -> impl Future<Output = Result<Option<Row>, PlatformError>>;
 
     /// Returns all rows whose keys start with a prefix, in the order of the keys.
-    fn scan(&self, prefix: &Prefix) -> impl Future<Output = Result<Vec<Row>, PlatformError>>;
+    fn scan(&self, prefix: &KeyPrefix) -> impl Future<Output = Result<Vec<Row>, PlatformError>>;
 
     /// Commits a transaction.
     ///
     /// Returns [`CommitAnswer::Unknown`] whenever it is uncertain whether the transaction took effect.
-    fn commit(&self, transaction: &Transaction) -> impl Future<Output = CommitAnswer>;
+    fn commit(&self, transaction: &Transaction) -> impl Future<Output = CommitOutcome>;
 }
 
 /// A store of named objects.
--- a/crates/kitetrail-policy/src/program.rs
+++ b/crates/kitetrail-policy/src/program.rs
@@ -2,8 +2,8 @@
 
 use kitetrail_core::{
     TaskClass, TeamId,
-    placement::Sacrifice,
-    task::{Kind, Spec},
+    placement::AllowedRelief,
+    task::{Spec, SpecKind},
 };
 use rhai::{AST, Dynamic, Engine, Map, Position, Scope};
 
@@ -27,7 +27,7 @@
     /// The class of the task.
     pub class: TaskClass,
     /// The kind of the task.
-    pub kind: Kind,
+    pub kind: SpecKind,
     /// The team that owns the task.
     pub team: TeamId,
 }
@@ -89,14 +89,14 @@
     /// Calls `sacrifice(task)`: the measure that may be taken against a task when resources are scarce.
     ///
     /// Returns `None` if the policy does not define the function.
-    pub fn sacrifice(&self, task: &TaskFacts) -> Result<Option<Sacrifice>, String> {
+    pub fn sacrifice(&self, task: &TaskFacts) -> Result<Option<AllowedRelief>, String> {
         let Some(result) = self.call("sacrifice", [task.to_map().into()])? else {
             return Ok(None);
         };
         match result.into_string().as_deref() {
-            Ok("never") => Ok(Some(Sacrifice::Never)),
-            Ok("throttle") => Ok(Some(Sacrifice::Throttle)),
-            Ok("evict") => Ok(Some(Sacrifice::Evict)),
+            Ok("never") => Ok(Some(AllowedRelief::Never)),
+            Ok("throttle") => Ok(Some(AllowedRelief::Throttle)),
+            Ok("evict") => Ok(Some(AllowedRelief::Evict)),
             _ => Err("the answer must be \"never\", \"throttle\" or \"evict\"".to_owned()),
         }
     }
--- a/crates/kitetrail-standins/src/table.rs
+++ b/crates/kitetrail-standins/src/table.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, Request, StatusCode, body::Incoming};
 use kitetrail_core::{
     OpId, Version,
-    table::{CommitAnswer, Condition, Key},
+    table::{CommitOutcome, Condition, RowKey},
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OpaqueRow {
     /// The key of the row.
-    pub key: Key,
+    pub key: RowKey,
     /// The version of the row.
     pub version: Version,
     /// The operation that wrote this version.
@@ -49,14 +49,14 @@
 
 #[derive(Debug, Clone, Deserialize)]
 struct OpaqueWrite {
-    key: Key,
+    key: RowKey,
     record: Option<Value>,
 }
 
 /// The model of the transactional table.
 #[derive(Debug, Default)]
 pub struct TableModel {
-    rows: BTreeMap<Key, OpaqueRow>,
+    rows: BTreeMap<RowKey, OpaqueRow>,
     version: Version,
     /// The number of reads.
     pub reads: u64,
@@ -70,7 +70,7 @@
     /// Returns the row with a key.
     pub fn read(&mut self, key: &str) -> Option<&OpaqueRow> {
         self.reads += 1;
-        self.rows.get(&Key::from_name(key))
+        self.rows.get(&RowKey::from_name(key))
     }
 
     /// Returns all rows whose keys start with a prefix.
@@ -81,13 +81,13 @@
     }
 
     /// Commits a transaction if all its conditions are satisfied.
-    pub fn commit(&mut self, transaction: OpaqueTransaction) -> CommitAnswer {
+    pub fn commit(&mut self, transaction: OpaqueTransaction) -> CommitOutcome {
         let is_satisfied = |condition: &Condition| {
             let version = self.rows.get(&condition.key).map(|row| row.version);
             version.unwrap_or_default() == condition.version
         };
         if !transaction.conditions.iter().all(is_satisfied) {
-            return CommitAnswer::Conflict;
+            return CommitOutcome::Conflict;
         }
         self.version = self.version.next();
         self.commits += 1;
@@ -103,7 +103,7 @@
                 }
             }
         }
-        CommitAnswer::Committed(self.version)
+        CommitOutcome::Committed(self.version)
     }
 }
 
@@ -209,10 +209,10 @@
         return None;
     }
     match answer {
-        CommitAnswer::Committed(version) => {
+        CommitOutcome::Committed(version) => {
             json_response(&serde_json::json!({ "version": version }))
         }
-        CommitAnswer::Conflict | CommitAnswer::Unknown => {
+        CommitOutcome::Conflict | CommitOutcome::Unknown => {
             text_response(StatusCode::CONFLICT, "a condition is not satisfied")
         }
     }
--- a/crates/kitetrail-standins/tests/placement_failures.rs
+++ b/crates/kitetrail-standins/tests/placement_failures.rs
@@ -13,7 +13,7 @@
     fleet::Liveness,
     placement::{InterferenceAware, Placer, PolicyTable},
     shard::ShardSettings,
-    task::{Ending, Kind, Spec, Stage},
+    task::{Spec, SpecKind, TaskEnding, TaskStage},
 };
 use kitetrail_standins::worker::Effects;
 use world::{NetworkConditions, Simulation, spec, worker_settings};
@@ -37,7 +37,7 @@
 fn a_new_owner_waits_until_the_previous_owner_can_no_longer_renew() {
     let long_renewal = ShardSettings::builder().detached_renewal(DETACHED_RENEWAL * 3).build();
     let mut sim = Simulation::new(7, 2, 2, long_renewal);
-    sim.submit(spec("notices", Kind::Watcher, 1, 0));
+    sim.submit(spec("notices", SpecKind::Watcher, 1, 0));
     sim.run_for_ms(2_000);
     let (worker, _) = sim.running_attempts("notices:0")[0];
     sim.disconnect_worker(1, 0);
@@ -63,7 +63,7 @@
 #[test]
 fn running_tasks_complete_once_during_a_table_outage() {
     let mut sim = simulation(2, 2);
-    sim.submit(spec("packs", Kind::Job, 4, 12_000));
+    sim.submit(spec("packs", SpecKind::Job, 4, 12_000));
     sim.run_for_ms(2_000);
     let start_count = sim.start_count();
     sim.network.table_down = true;
@@ -72,14 +72,14 @@
     sim.network.table_down = false;
     sim.run_for_ms(5_000);
     assert_eq!(sim.start_count(), start_count, "no task may start again\n{}", sim.log);
-    assert!(sim.task_rows().iter().all(|row| row.stage == Stage::Ended(Ending::Done)));
+    assert!(sim.task_rows().iter().all(|row| row.stage == TaskStage::Ended(TaskEnding::Done)));
 }
 
 /// P2: the owner is killed after it commits a placement and before it sends the start order.
 #[test]
 fn tasks_complete_once_if_the_owner_is_killed_between_commit_and_start() {
     let mut sim = simulation(2, 2);
-    sim.submit(spec("packs", Kind::Job, 2, 2_000));
+    sim.submit(spec("packs", SpecKind::Job, 2, 2_000));
     while sim.task_rows().iter().all(|row| row.worker().is_none()) {
         sim.run_for_ms(1);
     }
@@ -92,7 +92,7 @@
 #[test]
 fn an_owner_paused_beyond_its_lease_steps_down() {
     let mut sim = simulation(2, 2);
-    sim.submit(spec("packs", Kind::Job, 6, 4_000));
+    sim.submit(spec("packs", SpecKind::Job, 6, 4_000));
     sim.run_for_ms(260);
     sim.pause_box(0);
     sim.run_for_ms(8_000);
@@ -109,12 +109,12 @@
 fn orders_delayed_beyond_the_lease_start_no_task_twice() {
     let mut sim = simulation(1, 2);
     sim.network = NetworkConditions { max_delay_ms: 25_000, ..NetworkConditions::reliable() };
-    sim.submit(spec("packs", Kind::Job, 4, 3_000));
-    sim.submit(spec("notices", Kind::Watcher, 2, 0));
+    sim.submit(spec("packs", SpecKind::Job, 4, 3_000));
+    sim.submit(spec("notices", SpecKind::Watcher, 2, 0));
     sim.run_for_ms(120_000);
     sim.network = NetworkConditions::reliable();
     sim.run_for_ms(60_000);
-    assert!(sim.task_rows().iter().all(|row| row.stage != Stage::Queued), "{}", sim.log);
+    assert!(sim.task_rows().iter().all(|row| row.stage != TaskStage::Queued), "{}", sim.log);
 }
 
 /// P2: renewals reach the worker but the replies are lost, and later the renewals are lost
@@ -124,7 +124,7 @@
 fn leases_lapse_safely_when_replies_to_renewals_are_lost() {
     for replies_lost_ms in (1_000..12_000).step_by(500) {
         let mut sim = simulation(1, 3);
-        sim.submit(spec("notices", Kind::Watcher, 1, 0));
+        sim.submit(spec("notices", SpecKind::Watcher, 1, 0));
         sim.run_for_ms(2_000);
         let (worker, _) = sim.running_attempts("notices:0")[0];
         sim.drop_replies(0, worker);
@@ -141,7 +141,7 @@
 fn leases_lapse_safely_when_most_messages_are_lost() {
     for seed in 0..40 {
         let mut sim = Simulation::new(seed, 1, 3, ShardSettings::default());
-        sim.submit(spec("notices", Kind::Watcher, 4, 0));
+        sim.submit(spec("notices", SpecKind::Watcher, 4, 0));
         sim.run_for_ms(2_000);
         sim.network = NetworkConditions {
             max_delay_ms: 900,
@@ -157,7 +157,7 @@
 #[test]
 fn an_evicted_task_resumes_once_from_its_checkpoint() {
     let mut sim = simulation(1, 2);
-    sim.submit(spec("packs", Kind::Job, 1, 8_000));
+    sim.submit(spec("packs", SpecKind::Job, 1, 8_000));
     sim.run_for_ms(4_000);
     let (worker, _) = sim.running_attempts("packs:0")[0];
     sim.set_worker_state(worker, Liveness::Leaving);
@@ -175,7 +175,7 @@
 fn an_evicted_task_completes_once_if_the_owner_is_killed_at_any_step() {
     for killed_after_ms in (0..3_000).step_by(50) {
         let mut sim = simulation(2, 2);
-        sim.submit(spec("packs", Kind::Job, 1, 8_000));
+        sim.submit(spec("packs", SpecKind::Job, 1, 8_000));
         sim.run_for_ms(4_000);
         let (worker, _) = sim.running_attempts("packs:0")[0];
         sim.set_worker_state(worker, Liveness::Leaving);
@@ -192,7 +192,7 @@
 fn a_job_cancelled_at_any_step_of_an_eviction_does_not_run_again() {
     for cancelled_after_ms in (0..2_000).step_by(50) {
         let mut sim = simulation(1, 2);
-        sim.submit(spec("packs", Kind::Job, 1, 60_000));
+        sim.submit(spec("packs", SpecKind::Job, 1, 60_000));
         sim.run_for_ms(4_000);
         let (worker, _) = sim.running_attempts("packs:0")[0];
         sim.set_worker_state(worker, Liveness::Leaving);
@@ -200,7 +200,7 @@
         sim.cancel(&"packs".parse().unwrap());
         sim.run_for_ms(10_000);
         assert!(sim.running_attempts("packs:0").is_empty(), "{}", sim.log);
-        let is_cancelled = sim.task_rows()[0].stage == Stage::Ended(Ending::Cancelled);
+        let is_cancelled = sim.task_rows()[0].stage == TaskStage::Ended(TaskEnding::Cancelled);
         assert!(is_cancelled, "{cancelled_after_ms}\n{}", sim.log);
     }
 }
@@ -211,7 +211,7 @@
 fn tasks_beyond_the_capacity_wait_and_complete_once() {
     let mut sim = simulation(1, 3);
     let job_of_size = |name, tasks, cpu, accelerators| {
-        with_size(spec(name, Kind::Job, tasks, 1_500), Resources::new(cpu, 700, accelerators))
+        with_size(spec(name, SpecKind::Job, tasks, 1_500), Resources::new(cpu, 700, accelerators))
     };
     sim.submit(job_of_size("odd", 9, 1_700, 0));
     sim.submit(job_of_size("tiny", 30, 130, 0));
@@ -228,16 +228,16 @@
     let mut sim = simulation(1, 6);
     sim.make_worker_fail_tasks(0);
     for number in 0..6 {
-        sim.submit(spec(&format!("packs-{number}"), Kind::Job, 2, 1_000));
+        sim.submit(spec(&format!("packs-{number}"), SpecKind::Job, 2, 1_000));
     }
-    sim.submit(spec("fail-always", Kind::Job, 1, 1_000));
+    sim.submit(spec("fail-always", SpecKind::Job, 1, 1_000));
     sim.run_for_ms(60_000);
     for row in sim.task_rows() {
         let expected = match row.spec.name.as_str() {
-            "fail-always" => Ending::Failed,
-            _ => Ending::Done,
+            "fail-always" => TaskEnding::Failed,
+            _ => TaskEnding::Done,
         };
-        assert_eq!(row.stage, Stage::Ended(expected), "{}\n{}", row.id, sim.log);
+        assert_eq!(row.stage, TaskStage::Ended(expected), "{}\n{}", row.id, sim.log);
     }
     assert!(sim.log.contains("rests worker-0"), "{}", sim.log);
     assert!(!sim.log.contains("rests worker-1"), "{}", sim.log);
@@ -247,9 +247,9 @@
 #[test]
 fn an_urgent_task_starts_within_3300_ms_on_a_full_worker() {
     let mut sim = simulation(1, 1);
-    sim.submit(spec("packs", Kind::Job, 4, 60_000));
+    sim.submit(spec("packs", SpecKind::Job, 4, 60_000));
     sim.run_for_ms(3_000);
-    let urgent = Spec { priority: 250, ..spec("urgent", Kind::Job, 1, 1_000) };
+    let urgent = Spec { priority: 250, ..spec("urgent", SpecKind::Job, 1, 1_000) };
     sim.submit(urgent);
     sim.run_for_ms(3_300);
     let started =
@@ -263,9 +263,9 @@
     let mut sim = simulation(1, 2);
     sim.submit(Spec {
         priority: 100,
-        ..with_size(spec("too-large", Kind::Job, 600, 1_000), Resources::new(9_000, 1_024, 0))
+        ..with_size(spec("too-large", SpecKind::Job, 600, 1_000), Resources::new(9_000, 1_024, 0))
     });
-    sim.submit(spec("packs", Kind::Job, 4, 1_000));
+    sim.submit(spec("packs", SpecKind::Job, 4, 1_000));
     sim.run_for_ms(5_000);
     assert_eq!(sim.completions("packs"), [1; 4], "{}", sim.log);
 }
@@ -276,7 +276,7 @@
     let day_ms = 24 * 60 * 60 * 1_000;
     let mut sim = simulation(2, 2);
     sim.set_unix_time(10 * day_ms);
-    sim.submit(spec("packs", Kind::Job, 4, 1_000));
+    sim.submit(spec("packs", SpecKind::Job, 4, 1_000));
     sim.run_for_ms(4_000);
     sim.kill_box(0);
     sim.run_for_ms(6_000);
@@ -296,7 +296,7 @@
     placer.set_policy(PolicyTable { quotas, ..PolicyTable::default() });
     let workers = worker_settings(Effects::default());
     let mut sim = Simulation::with_placer(7, 1, 3, ShardSettings::default(), placer, workers);
-    sim.submit(spec("packs", Kind::Job, 12, 1_000));
+    sim.submit(spec("packs", SpecKind::Job, 12, 1_000));
     for _ in 0..100 {
         sim.run_for_ms(100);
         let running = (0..12).filter(|n| !sim.running_attempts(&format!("packs:{n}")).is_empty());
@@ -310,7 +310,7 @@
 fn many_cancelled_jobs_end_in_few_transactions() {
     let mut sim = simulation(1, 3);
     for number in 0..40 {
-        sim.submit(spec(&format!("packs-{number}"), Kind::Job, 10, 60_000));
+        sim.submit(spec(&format!("packs-{number}"), SpecKind::Job, 10, 60_000));
     }
     sim.run_for_ms(3_000);
     let commits_before = sim.commits();
@@ -330,8 +330,8 @@
 #[test]
 fn a_job_that_crashes_its_workers_ends_as_failed() {
     let mut sim = simulation(2, 4);
-    sim.submit(spec("bad", Kind::Job, 1, 2_000));
-    sim.submit(spec("packs", Kind::Job, 6, 3_000));
+    sim.submit(spec("bad", SpecKind::Job, 1, 2_000));
+    sim.submit(spec("packs", SpecKind::Job, 6, 3_000));
     let mut crashes = 0;
     for step in 0..12_000 {
         sim.run_for_ms(10);
@@ -349,22 +349,22 @@
     let rows_of =
         |name: &str| rows.iter().filter(|row| row.id.spec.as_str() == name).collect::<Vec<_>>();
     let (bad, packs) = (rows_of("bad"), rows_of("packs"));
-    assert!(bad.iter().all(|row| row.stage == Stage::Ended(Ending::Failed)), "{bad:?}");
-    assert!(packs.iter().all(|row| row.stage == Stage::Ended(Ending::Done)), "{packs:?}");
+    assert!(bad.iter().all(|row| row.stage == TaskStage::Ended(TaskEnding::Failed)), "{bad:?}");
+    assert!(packs.iter().all(|row| row.stage == TaskStage::Ended(TaskEnding::Done)), "{packs:?}");
 }
 
 /// Repeated worker restarts do not fail a long job that saves its progress.
 #[test]
 fn repeated_worker_restarts_do_not_fail_a_job() {
     let mut sim = simulation(1, 4);
-    sim.submit(spec("packs", Kind::Job, 8, 20_000));
+    sim.submit(spec("packs", SpecKind::Job, 8, 20_000));
     for round in 0..40 {
         sim.run_for_ms(2_300);
         sim.restart_worker(round % 4);
     }
     sim.run_for_ms(120_000);
     assert!(
-        sim.task_rows().iter().all(|row| row.stage == Stage::Ended(Ending::Done)),
+        sim.task_rows().iter().all(|row| row.stage == TaskStage::Ended(TaskEnding::Done)),
         "{}",
         sim.log
     );
--- a/crates/kitetrail-standins/tests/placement_properties.rs
+++ b/crates/kitetrail-standins/tests/placement_properties.rs
@@ -10,7 +10,7 @@
 use kitetrail_core::{
     fleet::Liveness,
     shard::ShardSettings,
-    task::{Ending, Kind, Stage},
+    task::{SpecKind, TaskEnding, TaskStage},
 };
 use proptest::{
     collection::vec,
@@ -94,7 +94,7 @@
         Fault::RestartWorker(worker) => sim.restart_worker(worker),
         Fault::SetWorkerLeaving(worker, true) => sim.set_worker_state(worker, Liveness::Leaving),
         Fault::SetWorkerLeaving(worker, false) => sim.set_worker_state(worker, Liveness::Live),
-        Fault::CancelJob => sim.cancel(&world::spec("cancelled", Kind::Job, 1, 0).name),
+        Fault::CancelJob => sim.cancel(&world::spec("cancelled", SpecKind::Job, 1, 0).name),
         Fault::DegradeNetwork(loss_percent, duplicate_percent, max_delay_ms) => {
             let table_down = sim.network.table_down;
             let min_delay_ms = 1;
@@ -127,9 +127,11 @@
 fn check_final_state(sim: &mut Simulation) {
     for row in sim.task_rows() {
         let is_expected = match (row.spec.kind, &row.stage) {
-            (Kind::Job, Stage::Ended(Ending::Done)) => true,
-            (Kind::Job, Stage::Ended(Ending::Cancelled)) => row.spec.name.as_str() == "cancelled",
-            (Kind::Service | Kind::Watcher, Stage::Placed { .. }) => true,
+            (SpecKind::Job, TaskStage::Ended(TaskEnding::Done)) => true,
+            (SpecKind::Job, TaskStage::Ended(TaskEnding::Cancelled)) => {
+                row.spec.name.as_str() == "cancelled"
+            }
+            (SpecKind::Service | SpecKind::Watcher, TaskStage::Placed { .. }) => true,
             _ => false,
         };
         assert!(is_expected, "{} ended up as {:?}\n{}", row.id, row.stage, sim.log);
@@ -144,10 +146,10 @@
 
 fn run_session(seed: u64, faults: &[(u64, Fault)]) {
     let mut sim = Simulation::new(seed, NODES, WORKERS, settings());
-    sim.submit(spec("validate", Kind::Service, 3, 0));
-    sim.submit(spec("notices", Kind::Watcher, 1, 0));
-    sim.submit(spec("packs", Kind::Job, 8, 7_000));
-    sim.submit(spec("cancelled", Kind::Job, 2, 15_000));
+    sim.submit(spec("validate", SpecKind::Service, 3, 0));
+    sim.submit(spec("notices", SpecKind::Watcher, 1, 0));
+    sim.submit(spec("packs", SpecKind::Job, 8, 7_000));
+    sim.submit(spec("cancelled", SpecKind::Job, 2, 15_000));
     for (after_ms, fault) in faults {
         sim.run_for_ms(*after_ms);
         inject_fault(&mut sim, fault);
--- a/crates/kitetrail-standins/tests/world/faults.rs
+++ b/crates/kitetrail-standins/tests/world/faults.rs
@@ -41,7 +41,7 @@
 
     pub fn drain_box(&mut self, node: usize) {
         self.log_line(format!("box-{node} drains"));
-        self.handle_event(node, Event::Drain);
+        self.handle_event(node, Event::Stop);
     }
 
     pub fn disconnect_worker(&mut self, node: usize, worker: usize) {
@@ -101,7 +101,7 @@
     pub fn set_worker_state(&mut self, worker: usize, state: Liveness) {
         self.worker_infos[worker].state = state;
         for node in 0..self.nodes.len() {
-            self.handle_event(node, Event::FleetSeen(self.worker_infos.clone()));
+            self.handle_event(node, Event::FleetUpdated(self.worker_infos.clone()));
         }
         self.log_line(format!("the box list shows worker-{worker} as {state:?}"));
     }
--- a/crates/kitetrail-standins/tests/world/mod.rs
+++ b/crates/kitetrail-standins/tests/world/mod.rs
@@ -19,8 +19,8 @@
     fleet::{Liveness, WorkerInfo},
     placement::{InterferenceAware, Placer, ReliefSettings},
     shard::{Action, Event, Shard, ShardSettings},
-    table::{CommitAnswer, Key, Prefix, Record, Transaction, Write},
-    task::{InboxItem, Kind, Spec},
+    table::{CommitOutcome, KeyPrefix, Record, RowKey, Transaction, Write},
+    task::{InboxItem, Spec, SpecKind},
     worker::SyncRequest,
 };
 use kitetrail_standins::{
@@ -268,14 +268,14 @@
     }
 
     fn send_initial_events(&mut self, node: usize) {
-        self.handle_event(node, Event::Ranked(Some(node)));
-        self.handle_event(node, Event::FleetSeen(self.worker_infos.clone()));
+        self.handle_event(node, Event::RankChanged(Some(node)));
+        self.handle_event(node, Event::FleetUpdated(self.worker_infos.clone()));
     }
 
     fn write_to_inbox(&mut self, item: InboxItem) {
         self.change_count += 1;
         let op = OpId::from_change(&format!("change-{}", self.change_count));
-        let key = Key::inbox(&self.shard, &op);
+        let key = RowKey::inbox(&self.shard, &op);
         let write = Write { key, record: Some(Record::Inbox { item }) };
         let transaction = Transaction { op, conditions: Vec::new(), writes: vec![write] };
         self.table.commit(to_opaque(&transaction));
@@ -341,14 +341,14 @@
                     .position(|candidate| candidate.id == worker_info.id)
                     .unwrap();
                 let message = Message::ToWorker { node, incarnation, request_id, worker, request };
-                (Event::WorkerSilent(worker_info.id), message)
+                (Event::WorkerDidNotReply(worker_info.id), message)
             }
             action => {
                 let timeout = match &action {
                     Action::ReadLease => Event::LeaseReadFailed,
-                    Action::Load => Event::LoadFailed,
+                    Action::ReadTasks => Event::TasksReadFailed,
                     Action::ReadInbox => Event::InboxReadFailed,
-                    _ => Event::CommitAnswered(CommitAnswer::Unknown),
+                    _ => Event::CommitAnswered(CommitOutcome::Unknown),
                 };
                 (timeout, Message::ToTable { node, incarnation, request_id, action })
             }
@@ -428,7 +428,7 @@
                 continue;
             }
             if self.update_ranks {
-                self.handle_event(node, Event::Ranked(Some(rank)));
+                self.handle_event(node, Event::RankChanged(Some(rank)));
             }
             rank += 1;
             self.handle_event(node, Event::Tick);
@@ -439,16 +439,16 @@
     fn execute_on_table(&mut self, action: Action) -> Event {
         match action {
             Action::ReadLease => {
-                let row = self.table.read(Key::lease(&self.shard).as_str()).cloned();
+                let row = self.table.read(RowKey::lease(&self.shard).as_str()).cloned();
                 Event::LeaseRead(row.map(|row| {
                     let record = serde_json::from_value(row.record).unwrap();
                     let Record::Lease(lease) = record else { panic!("the row is not a lease") };
                     (row.version, row.op, lease)
                 }))
             }
-            Action::Load => Event::Loaded(self.task_rows()),
+            Action::ReadTasks => Event::TasksRead(self.task_rows()),
             Action::ReadInbox => {
-                let rows = self.table.scan(Prefix::inbox(&self.shard).as_str());
+                let rows = self.table.scan(KeyPrefix::inbox(&self.shard).as_str());
                 let items = rows.into_iter().map(|row| {
                     let record = serde_json::from_value(row.record).unwrap();
                     let Record::Inbox { item } = record else {
@@ -496,7 +496,7 @@
 }
 
 /// Returns a spec whose tasks need one CPU and 1 GiB of memory each.
-pub fn spec(name: &str, kind: Kind, tasks: u32, run_ms: u64) -> Spec {
+pub fn spec(name: &str, kind: SpecKind, tasks: u32, run_ms: u64) -> Spec {
     Spec::builder()
         .name(name.parse().unwrap())
         .kind(kind)
--- a/crates/kitetrail/src/commands.rs
+++ b/crates/kitetrail/src/commands.rs
@@ -11,7 +11,7 @@
 use kitetrail_core::{
     Resources, SpecName,
     config::Configuration,
-    task::{Kind, Spec},
+    task::{Spec, SpecKind},
 };
 use serde_json::{Value, json};
 
@@ -116,9 +116,9 @@
 ) -> Result<String, CliError> {
     match command {
         ServiceCommand::Create { task, replicas } => {
-            create_spec(client, output, Kind::Service, task, replicas, 0).await
+            create_spec(client, output, SpecKind::Service, task, replicas, 0).await
         }
-        ServiceCommand::List => list_specs(client, output, Kind::Service).await,
+        ServiceCommand::List => list_specs(client, output, SpecKind::Service).await,
         ServiceCommand::Show(args) => show_spec(client, output, &args.name).await,
         ServiceCommand::Delete(args) => delete_spec(client, output, args).await,
     }
@@ -127,9 +127,9 @@
 async fn run_job(client: &Client, output: Output, command: JobCommand) -> Result<String, CliError> {
     match command {
         JobCommand::Create { task, tasks, run_ms } => {
-            create_spec(client, output, Kind::Job, task, tasks, run_ms).await
+            create_spec(client, output, SpecKind::Job, task, tasks, run_ms).await
         }
-        JobCommand::List => list_specs(client, output, Kind::Job).await,
+        JobCommand::List => list_specs(client, output, SpecKind::Job).await,
         JobCommand::Show(args) => show_spec(client, output, &args.name).await,
         JobCommand::Cancel(args) => delete_spec(client, output, args).await,
     }
@@ -142,9 +142,9 @@
 ) -> Result<String, CliError> {
     match command {
         WatcherCommand::Create { task } => {
-            create_spec(client, output, Kind::Watcher, task, 1, 0).await
+            create_spec(client, output, SpecKind::Watcher, task, 1, 0).await
         }
-        WatcherCommand::List => list_specs(client, output, Kind::Watcher).await,
+        WatcherCommand::List => list_specs(client, output, SpecKind::Watcher).await,
         WatcherCommand::Show(args) => show_spec(client, output, &args.name).await,
         WatcherCommand::Delete(args) => delete_spec(client, output, args).await,
     }
@@ -205,7 +205,7 @@
 async fn create_spec(
     client: &Client,
     output: Output,
-    kind: Kind,
+    kind: SpecKind,
     task: TaskArgs,
     tasks: u32,
     run_ms: u64,
@@ -230,7 +230,7 @@
     Ok(format_table(output, &client.post("/v1/specs", &body).await?, &SPEC_COLUMNS))
 }
 
-async fn list_specs(client: &Client, output: Output, kind: Kind) -> Result<String, CliError> {
+async fn list_specs(client: &Client, output: Output, kind: SpecKind) -> Result<String, CliError> {
     let specs = client.get(&format!("/v1/specs?kind={kind}")).await?;
     Ok(format_table(output, &specs, &SPEC_COLUMNS))
 }
--- a/crates/kitetraild/src/fleet/front.rs
+++ b/crates/kitetraild/src/fleet/front.rs
@@ -115,7 +115,7 @@
     };
     let (operation, response) = dispatch(shared, &config, request, limits, started).await;
     let latency_ms = started.elapsed().as_secs_f64() * 1_000.0;
-    shared.metrics.note_request(response.status().as_str(), operation, latency_ms);
+    shared.metrics.record_request(response.status().as_str(), operation, latency_ms);
     response
 }
 
@@ -130,7 +130,7 @@
     let host = request.headers().get(HOST).and_then(|host| host.to_str().ok()).unwrap_or("");
     let host = host.split(':').next().unwrap_or("");
     let path = request.uri().path().to_owned();
-    let Some((route, job_text)) = config.route(host, &path) else {
+    let Some((route, job_text)) = config.find_route(host, &path) else {
         log::info!(
             host = host, path = path, config = config.version;
             "front: no queue matches the request"
--- a/crates/kitetraild/src/fleet/owner/mod.rs
+++ b/crates/kitetraild/src/fleet/owner/mod.rs
@@ -250,7 +250,9 @@
         if self.releasing {
             return;
         }
-        if let Some(stronger) = candidates.much_stronger(own_strength, self.shared.clock.now()) {
+        if let Some(stronger) =
+            candidates.much_stronger_candidate(own_strength, self.shared.clock.now())
+        {
             log::info!(
                 peer = stronger.to_string(), own = own_strength.to_string();
                 "owner: makes way for a stronger box"
@@ -327,7 +329,7 @@
         let runs_left = self.scheduler.runs_in_evacuated_zones();
         if runs_left != self.published_runs_left {
             self.published_runs_left = runs_left;
-            self.shared.metrics.note_evacuated_runs_left(runs_left);
+            self.shared.metrics.record_evacuated_runs_left(runs_left);
         }
         let counts = self.scheduler.unstarted_jobs_by_queue();
         let counts = counts.into_iter().map(|(queue, count)| (queue.to_string(), count));
