--- a/crates/kitetrail-platform/src/json_client.rs
+++ b/crates/kitetrail-platform/src/json_client.rs
@@ -124,7 +124,7 @@
             log::info!(
                 service = self.service, host = host.as_str(),
                 after_ms = suspect_after.as_millis() as u64;
-                "connections: silent, later calls go on new ones"
+                "connections: silent, replaced for later calls"
             );
         }
         match within(limits.timeout.saturating_sub(suspect_after), exchange).await {
--- a/crates/kitetraild/src/fleet/calls.rs
+++ b/crates/kitetraild/src/fleet/calls.rs
@@ -147,7 +147,7 @@
         Some(kept) => {
             log::error!(
                 job = job.to_string(), epoch = shared.owner().epoch, state:? = kept;
-                "job: kept, and unknown to the owner"
+                "job: persisted, but unknown to the owner"
             );
             kept
         }
--- a/crates/kitetraild/src/fleet/committer.rs
+++ b/crates/kitetraild/src/fleet/committer.rs
@@ -68,7 +68,7 @@
     fn reason(self) -> &'static str {
         match self {
             Self::AnotherOwner => "another owner wrote",
-            Self::Refused => "a write is refused for good",
+            Self::Refused => "the store permanently rejects a write",
         }
     }
 }
@@ -246,7 +246,7 @@
         match is_permanent_refusal(error) {
             true => log::error!(
                 write = self.write;
-                "owner: the store refuses a write for good: {error}"
+                "owner: the store permanently rejects a write: {error}"
             ),
             false => log::debug!(
                 write = self.write;
--- a/crates/kitetraild/src/fleet/log_entries.rs
+++ b/crates/kitetraild/src/fleet/log_entries.rs
@@ -7,7 +7,7 @@
     match entry {
         LogEntry::Submitted { job, queue, tasks, known } => log::info!(
             job = job.to_string(), queue = queue.as_str(), tasks = *tasks, known = *known;
-            "job: handed in"
+            "job: submitted"
         ),
         LogEntry::JobEnded { job, state, after_ms, objective_ms } => log::info!(
             job = job.to_string(), state:? = *state, after_ms = *after_ms,
@@ -46,7 +46,7 @@
         ),
         LogEntry::SuspicionCleared { task } => log::info!(
             job = task.job.to_string(), task = task_path(task);
-            "task: suspected of crashes no more"
+            "task: no longer suspected of crashes"
         ),
         LogEntry::CrashingTaskFailed { task, workers } => log::error!(
             job = task.job.to_string(), task = task_path(task), crashed = join_ids(workers);
@@ -68,11 +68,11 @@
         ),
         LogEntry::WaitsForZone { job, step } => log::warn!(
             job = job.to_string(), step = *step;
-            "job: waits, only zones that are being evacuated could run it"
+            "job: waiting, only evacuated zones could run it"
         ),
         LogEntry::Overload { takes_jobs, lag_ms } => log::warn!(
             takes_jobs = *takes_jobs, lag_ms = *lag_ms;
-            "owner: overloaded, or no more"
+            "owner: overload state changed"
         ),
         LogEntry::Backlog {
             kind,
@@ -90,7 +90,7 @@
         ),
         LogEntry::Unpersisted { records, ends, batch_sent_ago_ms } => log::info!(
             records = *records, ends = *ends, batch_sent_ago_ms:? = *batch_sent_ago_ms;
-            "owner: not kept yet"
+            "owner: records not persisted yet"
         ),
         LogEntry::Paced { worker, percent, tail_of_target_percent } => log::info!(
             worker = worker.as_str(), percent = *percent,
--- a/crates/kitetraild/src/fleet/owner/mod.rs
+++ b/crates/kitetraild/src/fleet/owner/mod.rs
@@ -182,7 +182,7 @@
             OwnerMessage::StoreProbed(Some(successor)) => {
                 log::warn!(
                     peer = successor.to_string(), waits_ms = self.shared.write_pending_ms();
-                    "owner: leaves the fleet to a box that reaches the store"
+                    "owner: releasing the fleet to a box that reaches the store"
                 );
                 return ControlFlow::Break(OwnershipEnd::LeftTo(successor));
             }
@@ -253,7 +253,7 @@
         if let Some(stronger) = candidates.much_stronger(own_strength, self.shared.clock.now()) {
             log::info!(
                 peer = stronger.to_string(), own = own_strength.to_string();
-                "owner: makes way for a stronger box"
+                "owner: releasing the fleet to a stronger box"
             );
             self.releasing = true;
         }
--- a/crates/kitetraild/src/fleet/peers/channel.rs
+++ b/crates/kitetraild/src/fleet/peers/channel.rs
@@ -101,7 +101,7 @@
         log::info!(
             service = SERVICE, host = silent.peer.to_string(),
             after_ms = timeout.as_millis() as u64;
-            "connections: silent, later calls go on new ones"
+            "connections: silent, replaced for later calls"
         );
     }
 }
--- a/crates/kitetraild/src/fleet/predecessor.rs
+++ b/crates/kitetraild/src/fleet/predecessor.rs
@@ -28,7 +28,7 @@
             let mut known = earlier_owners.get();
             let stopped_at = known.note_last_stopped(shared.clock.now());
             earlier_owners.set(known);
-            log::info!(epoch = predecessor.row.epoch; "owner: the one before has stopped");
+            log::info!(epoch = predecessor.row.epoch; "owner: the previous owner has stopped");
             let _ = owner
                 .send(OwnerMessage::Event(Event::EarlierOwnersStopped { at: stopped_at }))
                 .await;
--- a/crates/kitetraild/src/fleet/run.rs
+++ b/crates/kitetraild/src/fleet/run.rs
@@ -109,7 +109,7 @@
         let lines = left_out.lines();
         if lines > reported {
             shared.metrics.note_log_lines_left_out(lines - reported);
-            log::warn!(lines = lines - reported, in_all = lines; "log: lines were left out");
+            log::warn!(lines = lines - reported, in_all = lines; "log: lines were dropped");
             reported = lines;
         }
     }
--- a/crates/kitetraild/src/fleet/shared.rs
+++ b/crates/kitetraild/src/fleet/shared.rs
@@ -225,7 +225,7 @@
         let address = view.address_text();
         log::info!(
             epoch = view.epoch, before = before.epoch, address = address.as_str(), source = source;
-            "owner: another owner is believed in"
+            "owner: the known owner changed"
         );
         self.owner.set(view);
         self.publish_status();
--- a/crates/kitetraild/src/fleet/takeover.rs
+++ b/crates/kitetraild/src/fleet/takeover.rs
@@ -81,7 +81,7 @@
     };
     let ended = run_owner(shared, &row, version, claim, started).await;
     *shared.local_owner.borrow_mut() = None;
-    log::info!(epoch = row.epoch, ended:? = ended; "owner: owns the fleet no more");
+    log::info!(epoch = row.epoch, ended:? = ended; "owner: no longer owns the fleet");
 }
 
 /// Reads the state that the previous owner left, retrying until it succeeds. Returns `None` if this
