--- a/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/incarnations.rs
@@ -127,7 +127,7 @@
                 // The poll in flight may acknowledge ends to the later instance that were never
                 // received. A poll with a higher token is sent now, to arrive first if possible.
                 instance.poll_in_flight = false;
-                self.log_worker_state(instance_no, "asked anew: its clock is another one");
+                self.log_worker_state(instance_no, "asked again: its clock differs");
                 return Executor::Unknown;
             }
             Some(_) | None => {}
--- a/crates/kitetrail-core/src/jobs/scheduler/quarantine.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/quarantine.rs
@@ -36,7 +36,7 @@
         let already_quarantined = instance.quarantined_until.is_some_and(|until| until > now);
         instance.quarantined_until = instance.quarantined_until.max(Some(now + HANGING_DURATION));
         if !already_quarantined {
-            self.log_worker_state(instance_no, "set aside: its runs stand still");
+            self.log_worker_state(instance_no, "quarantined: its runs make no progress");
         }
     }
 
@@ -59,6 +59,6 @@
         // After the pause, a single failure sets the worker aside again.
         instance.failures = CONSECUTIVE_FAILURE_LIMIT - 1;
         instance.quarantined_until = Some(now + pause);
-        self.log_worker_state(instance_no, "set aside: its runs fail");
+        self.log_worker_state(instance_no, "quarantined: its runs fail");
     }
 }
--- a/crates/kitetrail-core/src/jobs/scheduler/slowed.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/slowed.rs
@@ -41,7 +41,7 @@
             let pace = better_worker.and_then(|other| self.expected_pace(other, task, &spec));
             if pace.is_some_and(|pace| pace >= MIN_PACE_TO_MOVE) {
                 self.avoid(task, from);
-                self.move_run(from, task, run, "moved: slowed for long beside serving tasks");
+                self.move_run(from, task, run, "moved: slowed for too long beside serving tasks");
             }
         }
     }
--- a/crates/kitetrail-core/src/jobs/scheduler/unusable.rs
+++ b/crates/kitetrail-core/src/jobs/scheduler/unusable.rs
@@ -32,7 +32,7 @@
             return;
         }
         instance.listing = Listing::Unusable;
-        self.log_worker_state(instance_no, "not used, its entry can't be its own");
+        self.log_worker_state(instance_no, "not used: its entry is unusable");
     }
 
     /// Returns whether a worker runs a service that no queue uses.
--- a/crates/kitetrail-core/tests/jobs.rs
+++ b/crates/kitetrail-core/tests/jobs.rs
@@ -133,7 +133,7 @@
         world.run_ms(150);
     }
     let is_quarantine = |(_, entry): &(_, LogEntry)| {
-        matches!(entry, LogEntry::Worker { state: "set aside: its runs fail", .. })
+        matches!(entry, LogEntry::Worker { state: "quarantined: its runs fail", .. })
     };
     assert!(world.log_entries.iter().any(is_quarantine));
     let starts = world.starts.iter().filter(|(.., worker)| worker == "w0").count();
