--- a/crates/kitetrail-core/src/placement/first_fit.rs
+++ b/crates/kitetrail-core/src/placement/first_fit.rs
@@ -11,7 +11,7 @@
 
 impl Placer for FirstFit {
     fn choose(&self, _task: &TaskRow, candidates: &[Candidate<'_>]) -> Option<Choice> {
-        let reason = || "first with room".to_owned();
+        let reason = || "first with enough free resources".to_owned();
         (!candidates.is_empty()).then(|| Choice { index: 0, reason: reason() })
     }
 
--- a/crates/kitetrail-core/src/placement/interference_aware.rs
+++ b/crates/kitetrail-core/src/placement/interference_aware.rs
@@ -108,7 +108,7 @@
             .filter_map(|(index, candidate)| Some((index, self.cost(task, candidate)?)));
         let (index, cost) =
             costs.min_by(|a, b| a.1.partial_cmp(&b.1).unwrap_or(Ordering::Equal))?;
-        Some(Choice { index, reason: format!("least expected harm, cost {cost:.2}") })
+        Some(Choice { index, reason: format!("lowest expected interference, cost {cost:.2}") })
     }
 
     fn observe(&mut self, sample: &UsageSample, band: Band) {
--- a/crates/kitetrail-core/src/shard/event.rs
+++ b/crates/kitetrail-core/src/shard/event.rs
@@ -186,8 +186,8 @@
             RequeueReason::Evicted => "evicted",
             RequeueReason::Failed => "run failed",
             RequeueReason::WorkerRestarted => "worker restarted",
-            RequeueReason::LeaseExpired => "lease lapsed",
-            RequeueReason::WorkerUnresponsive => "worker silent",
+            RequeueReason::LeaseExpired => "lease expired",
+            RequeueReason::WorkerUnresponsive => "worker does not reply",
             RequeueReason::NotRunning => "worker does not run it",
             RequeueReason::Restarted => "kept running",
         })
@@ -198,7 +198,7 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
             Decision::TookOver(epoch) => write!(f, "took over, epoch {epoch}"),
-            Decision::HandedBack(epoch) => write!(f, "handed back, epoch {epoch}"),
+            Decision::HandedBack(epoch) => write!(f, "released, epoch {epoch}"),
             Decision::SteppedDown(epoch) => write!(f, "stepped down, epoch {epoch}"),
             Decision::Placed { task, attempt, worker, reason } => {
                 write!(f, "placed {task} attempt {attempt} on {worker}: {reason}")
@@ -213,7 +213,7 @@
             Decision::Quarantined { worker, duration_ms } => {
                 write!(
                     f,
-                    "rests {worker} for {duration_ms} ms: tasks of several specs failed on it"
+                    "quarantined {worker} for {duration_ms} ms: tasks of several specs failed on it"
                 )
             }
             Decision::Detached => {
--- a/crates/kitetrail-core/tests/routing.rs
+++ b/crates/kitetrail-core/tests/routing.rs
@@ -158,7 +158,7 @@
         for (outcome, count) in &self.counts {
             let _ = write!(text, ", {outcome} {count}");
         }
-        let _ = writeln!(text, "\n    longest wait before giving up {} ms", self.longest_wait_ms);
+        let _ = writeln!(text, "\n    longest wait before a rejection {} ms", self.longest_wait_ms);
         let _ = writeln!(text, "    sends to each endpoint {:?}", self.sends_to);
         text
     }
--- a/crates/kitetrail-standins/tests/placement_failures.rs
+++ b/crates/kitetrail-standins/tests/placement_failures.rs
@@ -122,7 +122,7 @@
         world.run_ms(muted_ms);
         world.cut(0, worker);
         world.run_ms(20_000);
-        assert!(world.log.contains("lease lapsed"), "{}", world.log);
+        assert!(world.log.contains("lease expired"), "{}", world.log);
         assert_eq!(world.where_runs("notices:0").len(), 1, "{}", world.log);
     }
 }
@@ -136,7 +136,7 @@
         world.run_ms(2_000);
         world.weather = Weather { max_delay_ms: 900, lose_percent: 75, ..Weather::calm() };
         world.run_ms(120_000);
-        assert!(world.log.contains("lease lapsed"), "{}", world.log);
+        assert!(world.log.contains("lease expired"), "{}", world.log);
     }
 }
 
@@ -226,8 +226,8 @@
         };
         assert_eq!(row.stage, Stage::Ended(expected), "{}\n{}", row.id, world.log);
     }
-    assert!(world.log.contains("rests worker-0"), "{}", world.log);
-    assert!(!world.log.contains("rests worker-1"), "{}", world.log);
+    assert!(world.log.contains("quarantined worker-0"), "{}", world.log);
+    assert!(!world.log.contains("quarantined worker-1"), "{}", world.log);
 }
 
 /// Urgent work displaces other work when nothing is free, and runs within 3.3 s.
--- a/crates/kitetrail-standins/tests/system_placement.rs
+++ b/crates/kitetrail-standins/tests/system_placement.rs
@@ -149,7 +149,7 @@
     let owner = system.owner_of("zone-0:0").unwrap();
     let name = format!("entry-{owner}");
     assert!(system.stop(&name), "the box must stop in order");
-    assert!(system.log_of(&name).contains("shard zone-0:0: handed back"), "{}", system.logs());
+    assert!(system.log_of(&name).contains("shard zone-0:0: released"), "{}", system.logs());
     system.wait_done(bystander(owner), "packs", 24);
     assert_eq!(system.starts_of("notices:0"), 1, "the watcher was not disturbed");
     system.judge(&[], &["packs:24"]);
