--- a/crates/kitetrail-core/tests/jobs_overload.rs
+++ b/crates/kitetrail-core/tests/jobs_overload.rs
@@ -273,7 +273,7 @@
     assert_eq!(
         world.starts.len(),
         8,
-        "a task was restarted though its run may have ended before the lease lapsed"
+        "a task was restarted though its run may have ended before the lease expired"
     );
     world.run_until("the job completes", |world| world.state(1) == Some(JobState::Completed));
     assert_eq!(world.starts.len(), 8);
