--- a/crates/kitetrail-core/tests/jobs.rs
+++ b/crates/kitetrail-core/tests/jobs.rs
@@ -135,7 +135,7 @@
         fleet.advance_ms(150);
     }
     let is_quarantine = |(_, entry): &(_, LogEntry)| {
-        matches!(entry, LogEntry::Worker { state: "set aside: its runs fail", .. })
+        matches!(entry, LogEntry::Worker { state: "quarantined: its runs fail", .. })
     };
     assert!(fleet.log_entries.iter().any(is_quarantine));
     let starts = fleet.starts.iter().filter(|(.., worker)| worker == "w0").count();
--- a/crates/kitetrail-standins/tests/placement_failures.rs
+++ b/crates/kitetrail-standins/tests/placement_failures.rs
@@ -131,7 +131,7 @@
         sim.run_for_ms(replies_lost_ms);
         sim.disconnect_worker(0, worker);
         sim.run_for_ms(20_000);
-        assert!(sim.log.contains("lease lapsed"), "{}", sim.log);
+        assert!(sim.log.contains("lease expired"), "{}", sim.log);
         assert_eq!(sim.running_attempts("notices:0").len(), 1, "{}", sim.log);
     }
 }
@@ -149,7 +149,7 @@
             ..NetworkConditions::reliable()
         };
         sim.run_for_ms(120_000);
-        assert!(sim.log.contains("lease lapsed"), "{}", sim.log);
+        assert!(sim.log.contains("lease expired"), "{}", sim.log);
     }
 }
 
@@ -239,8 +239,8 @@
         };
         assert_eq!(row.stage, TaskStage::Ended(expected), "{}\n{}", row.id, sim.log);
     }
-    assert!(sim.log.contains("rests worker-0"), "{}", sim.log);
-    assert!(!sim.log.contains("rests worker-1"), "{}", sim.log);
+    assert!(sim.log.contains("quarantined worker-0"), "{}", sim.log);
+    assert!(!sim.log.contains("quarantined worker-1"), "{}", sim.log);
 }
 
 /// An urgent task preempts other tasks when no worker has free capacity, and starts within 3.3 s.
--- a/crates/kitetrail-standins/tests/system_placement.rs
+++ b/crates/kitetrail-standins/tests/system_placement.rs
@@ -153,7 +153,7 @@
     let name = format!("entry-{owner}");
     assert!(cluster.stop_gracefully(&name), "the box must stop gracefully");
     assert!(
-        cluster.process_log(&name).contains("shard zone-0:0: handed back"),
+        cluster.process_log(&name).contains("shard zone-0:0: released"),
         "{}",
         cluster.log_tails()
     );
